--- a/src/finchway/entry/_app.py
+++ b/src/finchway/entry/_app.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from finchway.entry._call import Answer, Call, CallError, UpstreamError
-from finchway.entry._dispatch import HOLD_BYTES, Dispatcher
+from finchway.entry._dispatch import MAX_BUFFERED_BYTES, Dispatcher
 from finchway.entry._view import EntryView
 from finchway.observe import Metrics
 from finchway.policy import Caller, Outcome, client_block
@@ -30,9 +30,9 @@
     send_start,
 )
 
-STEER_LIMIT = 4
+MAX_STEER_ENTRIES = 4
 MAX_KEY_LENGTH = 200
-MAX_CONCURRENT = 4_000
+MAX_CONCURRENT_REQUESTS = 4_000
 
 
 class SteerPoint(Struct, frozen=True):
@@ -68,20 +68,20 @@
 class CallerBody:
     """A caller's body, held in memory up to a bound and streamed beyond it."""
 
-    __slots__ = ("_held", "_limit", "_more", "_receive", "_size", "_streamed")
+    __slots__ = ("_held", "_limit", "_has_more", "_receive", "_size", "_is_streamed")
 
     def __init__(self, receive, limit: int) -> None:
         self._receive = receive
         self._limit = limit
         self._held = b""
         self._size = 0
-        self._more = True
-        self._streamed = False
+        self._has_more = True
+        self._is_streamed = False
 
     @property
     def is_whole(self) -> bool:
         """Whether the whole body is held in memory."""
-        return not self._more
+        return not self._has_more
 
     @property
     def held(self) -> bytes:
@@ -91,17 +91,17 @@
     async def fill(self) -> None:
         """Read the body up to the bound."""
         chunks = []
-        while self._more and self._size <= HOLD_BYTES:
+        while self._has_more and self._size <= MAX_BUFFERED_BYTES:
             chunks.append(await self._next())
         self._held = b"".join(chunks)
 
     async def stream(self) -> AsyncIterator[bytes]:
         """Yield what is held, then the rest as it comes."""
-        if self._streamed:
+        if self._is_streamed:
             raise UpstreamError(Outcome.UNKNOWN, "the body cannot be sent a second time")
-        self._streamed = True
+        self._is_streamed = True
         yield self._held
-        while self._more:
+        while self._has_more:
             yield await self._next()
 
     async def wait_disconnect(self) -> None:
@@ -119,7 +119,7 @@
         self._size += len(chunk)
         if self._size > self._limit:
             raise BodyTooLargeError
-        self._more = event.get("more_body", False)
+        self._has_more = event.get("more_body", False)
         return chunk
 
 
@@ -137,12 +137,12 @@
         self._dispatcher = dispatcher
         self._metrics = metrics
         self._state = state
-        self._concurrent = 0
+        self._concurrent_requests = 0
 
     @property
-    def concurrent(self) -> int:
+    def concurrent_requests(self) -> int:
         """How many requests of callers are being served."""
-        return self._concurrent
+        return self._concurrent_requests
 
     async def __call__(self, scope: dict[str, Any], receive, respond) -> None:
         """Serve one request."""
@@ -178,13 +178,13 @@
     async def _steer(self, request: Request, service: str, respond) -> None:
         spec = self._view.service(service)
         if spec is None or not self._state.is_ready():
-            await self._no_service(service, respond)
+            await self._refuse_service(service, respond)
             return
-        client = request.query.get("client") or _client_of(request.scope)
+        client = request.query.get("client") or _client_address(request.scope)
         home = self._view.routes.home_region(client, self._view.region)
         organisation = self._organisation(request) or ""
         caller = Caller(client_block(client), organisation)
-        points = self._view.routes.steer(service, home, caller, STEER_LIMIT)
+        points = self._view.routes.steer(service, home, caller, MAX_STEER_ENTRIES)
         answer = SteerAnswer(
             service,
             [SteerPoint(p.instance, p.address, p.zone, p.region) for p in points],
@@ -195,7 +195,7 @@
         max_age = f"max-age={max(1, spec.steer_ttl_ms // 1000)}".encode()
         await send_json(respond, answer, 200, [(b"cache-control", max_age)])
 
-    def _denial(self, kind: str, status: int, detail: str) -> CallError:
+    def _refusal(self, kind: str, status: int, detail: str) -> CallError:
         """Return the refusal of what is not known or not allowed here.
 
         Without the leader's word it may have been accepted meanwhile, and a denial is final for its
@@ -205,55 +205,55 @@
             return CallError(kind, status, Outcome.NOT_RUN, detail)
         return CallError("not-current", 503, Outcome.NOT_RUN, f"as far as known, {detail}", 1.0)
 
-    async def _no_service(self, service: str, respond) -> None:
+    async def _refuse_service(self, service: str, respond) -> None:
         if self._state.is_ready():
-            error = self._denial("not-found", 404, f"no service {service!r}")
+            error = self._refusal("not-found", 404, f"no service {service!r}")
         else:
             error = _not_ready()
         await send_problem(respond, _as_problem(error))
 
     async def _serve(self, request: Request, service: str, receive, respond) -> None:
         started = trio.current_time()
-        exchange = _Exchange(respond, self._view.revision)
+        response = _CallerResponse(respond, self._view.revision)
         priority, outcome = "none", "not-run"
-        self._concurrent += 1
+        self._concurrent_requests += 1
         try:
-            call = self._call(request, service, started)
+            call = self._make_call(request, service, started)
             priority = call.priority
-            await self._run(call, receive, exchange)
+            await self._read_and_dispatch(call, receive, response)
             outcome = "ran"
         except CallError as error:
             outcome = error.outcome.value
-            await exchange.fail(error)
+            await response.send_error(error)
         except BodyTooLargeError:
             error = CallError("too-large", 413, Outcome.NOT_RUN, "the body is too large")
-            if exchange.dispatched:
+            if response.dispatched:
                 error.outcome = Outcome.UNKNOWN
             outcome = error.outcome.value
-            await exchange.fail(error)
+            await response.send_error(error)
         except CallerGoneError:
             outcome = "cancelled"
         finally:
-            self._concurrent -= 1
+            self._concurrent_requests -= 1
             taken = trio.current_time() - started
             self._metrics.count_request(service, priority, outcome, taken)
 
-    def _call(self, request: Request, service: str, now: float) -> Call:
+    def _make_call(self, request: Request, service: str, now: float) -> Call:
         if not self._state.is_ready():
             raise _not_ready()
-        if self._concurrent > MAX_CONCURRENT:
+        if self._concurrent_requests > MAX_CONCURRENT_REQUESTS:
             raise CallError("busy", 503, Outcome.NOT_RUN, "too many requests at once", 1.0)
         spec = self._view.service(service)
         if spec is None:
-            raise self._denial("not-found", 404, f"no service {service!r}")
+            raise self._refusal("not-found", 404, f"no service {service!r}")
         organisation = self._organisation(request)
         if organisation is None:
             detail = "send an organisation's credential as a bearer token"
-            raise self._denial("denied", 401, detail)
+            raise self._refusal("denied", 401, detail)
         contract = self._view.contract(organisation, service)
         if contract is None:
             detail = f"{organisation} has no contract for {service}"
-            raise self._denial("denied", 403, detail)
+            raise self._refusal("denied", 403, detail)
         key = request.headers.get("idempotency-key", "")
         if spec.once_only and not 0 < len(key) <= MAX_KEY_LENGTH:
             detail = f"{service} needs an Idempotency-Key of 1 to {MAX_KEY_LENGTH} characters"
@@ -262,19 +262,19 @@
         if declared.isdigit() and int(declared) > spec.max_request_bytes:
             detail = f"{service} takes at most {spec.max_request_bytes} bytes"
             raise CallError("too-large", 413, Outcome.NOT_RUN, detail)
-        client = request.headers.get("finchway-client") or _client_of(request.scope)
+        client = request.headers.get("finchway-client") or _client_address(request.scope)
         return Call(
             service=service,
             organisation=organisation,
             priority=contract.priority,
             rank=self._view.rank_of(organisation, service, contract, now),
             method=request.method,
-            target=_target(request.scope, service),
+            target=_upstream_target(request.scope, service),
             headers=[tuple(pair) for pair in request.scope["headers"]],
             client=client,
             home=self._view.routes.home_region(client, self._view.region),
             arrived=now,
-            deadline=now + _deadline_s(request, spec.deadline_ms),
+            deadline=now + _timeout_s(request, spec.deadline_ms),
             key=key if spec.once_only else "",
         )
 
@@ -282,22 +282,22 @@
         digest = hashlib.sha256(request.bearer.encode()).hexdigest()
         return self._view.organisation_of(digest)
 
-    async def _run(self, call: Call, receive, exchange: _Exchange) -> None:
+    async def _read_and_dispatch(self, call: Call, receive, response: _CallerResponse) -> None:
         spec = self._view.service(call.service)
         body = CallerBody(receive, spec.max_request_bytes)
         with trio.move_on_at(call.deadline) as scope:
             await body.fill()
         if scope.cancelled_caught:
             raise CallError("deadline", 408, Outcome.NOT_RUN, "the request came too slowly")
-        exchange.dispatched = True
+        response.dispatched = True
         if spec.once_only:
             # A caller that goes away must not leave its key in doubt: the request is finished.
-            await self._dispatch(call, body, exchange)
+            await self._dispatch(call, body, response)
             return
-        await self._dispatch_while_connected(call, body, exchange)
+        await self._dispatch_while_connected(call, body, response)
 
     async def _dispatch_while_connected(
-        self, call: Call, body: CallerBody, exchange: _Exchange
+        self, call: Call, body: CallerBody, response: _CallerResponse
     ) -> None:
         """Cancel the request at its upstream when the caller goes away."""
         failure: Exception | None = None
@@ -306,7 +306,7 @@
             if body.is_whole:
                 nursery.start_soon(_cancel_on_disconnect, body, nursery.cancel_scope)
             try:
-                await self._dispatch(call, body, exchange)
+                await self._dispatch(call, body, response)
             except (CallError, BodyTooLargeError, CallerGoneError) as error:
                 failure = error
             finished = True
@@ -316,14 +316,14 @@
         if not finished:
             raise CallerGoneError
 
-    async def _dispatch(self, call: Call, body: CallerBody, exchange: _Exchange) -> None:
+    async def _dispatch(self, call: Call, body: CallerBody, response: _CallerResponse) -> None:
         try:
-            await self._dispatcher.serve(call, body, exchange.answer)
+            await self._dispatcher.serve(call, body, response.send_answer)
         except UpstreamError as error:
             raise CallError("broken", 502, error.outcome, error.detail) from error
 
 
-class _Exchange:
+class _CallerResponse:
     """The answer to one caller: started at most once, and whole or visibly broken."""
 
     def __init__(self, respond, revision: int) -> None:
@@ -332,7 +332,7 @@
         self._started = False
         self.dispatched = False
 
-    async def answer(self, answer: Answer) -> None:
+    async def send_answer(self, answer: Answer) -> None:
         """Send an upstream's answer; what is not held yet is streamed as it comes."""
         self._started = True
         own = [
@@ -353,7 +353,7 @@
                 await self._send_body(chunk, True)
             await self._send_body(b"", False)
 
-    async def fail(self, error: CallError) -> None:
+    async def send_error(self, error: CallError) -> None:
         """Send an error, or break off visibly if a part of an answer is out already."""
         if self._started:
             raise ConnectionAbortedError(error.detail)
@@ -387,19 +387,19 @@
     scope.cancel()
 
 
-def _client_of(scope: dict[str, Any]) -> str:
+def _client_address(scope: dict[str, Any]) -> str:
     client = scope.get("client")
     return client[0] if client else ""
 
 
-def _target(scope: dict[str, Any], service: str) -> str:
+def _upstream_target(scope: dict[str, Any], service: str) -> str:
     raw = scope.get("raw_path", scope["path"].encode()).decode("latin-1")
     rest = raw.partition(f"/s/{service}")[2] or "/"
     query = scope["query_string"].decode("latin-1")
     return f"{rest}?{query}" if query else rest
 
 
-def _deadline_s(request: Request, longest_ms: int) -> float:
-    asked = request.headers.get("finchway-timeout-ms", "")
-    wanted = int(asked) if asked.isdigit() and int(asked) > 0 else longest_ms
-    return min(wanted, longest_ms) / 1000
+def _timeout_s(request: Request, max_ms: int) -> float:
+    requested = request.headers.get("finchway-timeout-ms", "")
+    timeout_ms = int(requested) if requested.isdigit() and int(requested) > 0 else max_ms
+    return min(timeout_ms, max_ms) / 1000
--- a/src/finchway/entry/_claims.py
+++ b/src/finchway/entry/_claims.py
@@ -24,8 +24,8 @@
 
 _LOG = logging.getLogger(__name__)
 MAX_STORED_BYTES = 65_536
-_SETTLE_RETRY_S = 0.5
-_CLAIM_TRY_S = 1.0
+_SETTLE_RETRY_INTERVAL_S = 0.5
+_SUBMIT_TIMEOUT_S = 1.0
 
 Submit = Callable[[AnyCommand, float], Awaitable[AnyResult]]
 
@@ -75,7 +75,7 @@
         result = None
         while result is None and trio.current_time() < call.deadline:
             try:
-                left = min(_CLAIM_TRY_S, call.deadline - trio.current_time())
+                left = min(_SUBMIT_TIMEOUT_S, call.deadline - trio.current_time())
                 result = await self._submit(command, left)
             except FinchwayError as error:
                 _LOG.debug("claim not granted yet: %s", error)
@@ -85,7 +85,7 @@
             raise CallError(
                 "claim-unavailable", 503, Outcome.NOT_RUN, "the key could not be claimed", 1.0
             )
-        return _read_claim(result, attempt)
+        return _interpret_claim(result, attempt)
 
     async def release(self, call: Call, attempt: str) -> bool:
         """Commit that the attempt certainly did not run; False if that takes over a second.
@@ -95,11 +95,11 @@
         """
         done = trio.Event()
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.RELEASED, b"", done)
-        with trio.move_on_after(_CLAIM_TRY_S):
+        with trio.move_on_after(_SUBMIT_TIMEOUT_S):
             await done.wait()
         return done.is_set()
 
-    async def finish(self, call: Call, attempt: str, answer: Answer, body: bytes | None) -> None:
+    async def complete(self, call: Call, attempt: str, answer: Answer, body: bytes | None) -> None:
         """Record the answer in the background; `body` is None if it was too large to keep."""
         stored = StoredAnswer(
             answer.status,
@@ -112,7 +112,7 @@
         encoded = msgspec.msgpack.encode(stored)
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.DONE, encoded)
 
-    def give_up(self, call: Call, attempt: str) -> None:
+    def mark_unknown(self, call: Call, attempt: str) -> None:
         """Record in the background that nobody can tell whether the attempt ran."""
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.UNKNOWN, b"")
 
@@ -136,17 +136,17 @@
                 answer=answer,
             )
             try:
-                await self._submit(command, _CLAIM_TRY_S)
+                await self._submit(command, _SUBMIT_TIMEOUT_S)
                 break
             except FinchwayError as error:
                 _LOG.debug("claim not settled yet: %s", error)
-                await trio.sleep(_SETTLE_RETRY_S)
+                await trio.sleep(_SETTLE_RETRY_INTERVAL_S)
         self._unsettled -= 1
         if done is not None:
             done.set()
 
 
-def _read_claim(result: AnyResult, attempt: str) -> str | Answer:
+def _interpret_claim(result: AnyResult, attempt: str) -> str | Answer:
     if not isinstance(result, Claimed):
         raise CallError("internal", 500, Outcome.NOT_RUN, f"unexpected {type(result).__name__}")
     if result.granted:
@@ -159,7 +159,7 @@
         raise CallError("key-expired", 422, Outcome.UNKNOWN, detail)
     match result.state:
         case ClaimState.DONE:
-            return _stored(result.answer)
+            return _decode_answer(result.answer)
         case ClaimState.CLAIMED:
             detail = "an earlier attempt with this key is still running"
             raise CallError("in-progress", 409, Outcome.UNKNOWN, detail, 1.0)
@@ -167,7 +167,7 @@
     raise CallError("unknown", 409, Outcome.UNKNOWN, detail)
 
 
-def _stored(encoded: bytes) -> Answer:
+def _decode_answer(encoded: bytes) -> Answer:
     stored = msgspec.msgpack.decode(encoded, type=StoredAnswer)
     if not stored.complete:
         detail = "the request ran; its answer was too large to be kept"
--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -43,11 +43,11 @@
 from finchway.pushback import Asked, is_own_answer
 from finchway.resources import Service
 
-HOLD_BYTES = 65_536
-PUMP_INTERVAL_S = 0.02
+MAX_BUFFERED_BYTES = 65_536
+QUEUE_INTERVAL_S = 0.02
 # An upstream that is given less than so many times what a request usually takes may well be fine.
-HASTY_BELOW = 2.0
-_HOP_HEADERS = frozenset(
+TIGHT_DEADLINE_FACTOR = 2.0
+_DROPPED_REQUEST_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -63,7 +63,7 @@
         b"expect",
     }
 )
-_ANSWER_DROPPED = frozenset(
+_DROPPED_RESPONSE_HEADERS = frozenset(
     {b"connection", b"keep-alive", b"transfer-encoding", b"upgrade", b"trailer"}
 )
 
@@ -75,7 +75,7 @@
         self,
         view: EntryView,
         client,
-        desk: ClaimDesk,
+        claims: ClaimDesk,
         timeline: Timeline,
         metrics: Metrics,
         may_serve: Callable[[], bool],
@@ -83,29 +83,29 @@
     ) -> None:
         self._view = view
         self._client = client
-        self._desk = desk
+        self._claims = claims
         self._timeline = timeline
         self._metrics = metrics
         self._may_serve = may_serve
         self._make_budget = make_budget
         self._budgets: dict[str, RetryBudget] = {}
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, _Waiting] = {}
-        self._someone_waits = trio.Event()
+        self._ticket_numbers = itertools.count(1)
+        self._waiting: dict[int, _QueuedRequest] = {}
+        self._has_waiting = trio.Event()
 
     async def run(self) -> None:
         """Serve waiting requests whenever slots come free or deadlines pass."""
         while True:
             if not self._waiting:
-                await self._someone_waits.wait()
-            self._someone_waits = trio.Event()
-            self.pump()
-            await trio.sleep(PUMP_INTERVAL_S)
+                await self._has_waiting.wait()
+            self._has_waiting = trio.Event()
+            self.process_queue()
+            await trio.sleep(QUEUE_INTERVAL_S)
 
-    def pump(self, service: str | None = None) -> None:
+    def process_queue(self, service: str | None = None) -> None:
         """Hand out free slots and refuse what is late."""
         for ticket, decision in self._view.gate.pump(trio.current_time(), service):
-            self._decide(ticket, decision)
+            self._deliver(ticket, decision)
 
     async def serve(self, call: Call, body: Body, respond) -> None:
         """Serve one request; `respond` is called with the answer while it is still open.
@@ -117,74 +117,74 @@
             detail = "this entry is cut off from control and from its fellows"
             raise CallError("isolated", 503, Outcome.NOT_RUN, detail, 1.0)
         if service.once_only:
-            await self._serve_once(call, service, body, respond)
+            await self._serve_once_only(call, service, body, respond)
         else:
-            await self._attempts(call, service, body, respond)
+            await self._run_attempts(call, service, body, respond)
 
-    async def _serve_once(self, call: Call, service: Service, body: Body, respond) -> None:
+    async def _serve_once_only(self, call: Call, service: Service, body: Body, respond) -> None:
         if not body.is_whole:
-            detail = f"requests with a key are limited to {HOLD_BYTES} bytes"
+            detail = f"requests with a key are limited to {MAX_BUFFERED_BYTES} bytes"
             raise CallError("too-large", 413, Outcome.NOT_RUN, detail)
-        claimed = await self._desk.claim(call, body.held, service.retain_s)
+        claimed = await self._claims.claim(call, body.held, service.retain_s)
         if isinstance(claimed, Answer):
             await respond(claimed)
             return
         settled = False
 
-        async def keep_and_respond(answer: Answer) -> None:
+        async def store_and_respond(answer: Answer) -> None:
             nonlocal settled
-            whole = await _read_whole(answer, MAX_STORED_BYTES)
-            await self._desk.finish(call, claimed, answer, whole)
+            whole = await _complete_body(answer, MAX_STORED_BYTES)
+            await self._claims.complete(call, claimed, answer, whole)
             settled = True
             await respond(answer)
 
         try:
-            await self._attempts(call, service, body, keep_and_respond)
+            await self._run_attempts(call, service, body, store_and_respond)
         except CallError as error:
             if settled:
                 raise
             if error.outcome is Outcome.NOT_RUN:
                 settled = True
-                if not await self._desk.release(call, claimed):
+                if not await self._claims.release(call, claimed):
                     detail = "the request did not run, but its key is not free yet"
                     raise CallError("release-pending", 503, Outcome.NOT_RUN, detail, 2.0) from error
             raise
         finally:
             if not settled:
-                self._desk.give_up(call, claimed)
+                self._claims.mark_unknown(call, claimed)
                 self._timeline.record(EventKind.CLAIM_UNKNOWN, f"{call.service}/{call.key}")
 
-    async def _attempts(self, call: Call, service: Service, body: Body, respond) -> None:
-        tried = _Tried()
+    async def _run_attempts(self, call: Call, service: Service, body: Body, respond) -> None:
+        history = _AttemptHistory()
         is_answered = False
         while not is_answered:
-            with self._regions(call) as regions:
-                is_answered = await self._try(call, service, body, respond, regions, tried)
+            with self._candidate_regions(call) as regions:
+                is_answered = await self._try_once(call, service, body, respond, regions, history)
 
-    async def _try(
+    async def _try_once(
         self,
         call: Call,
         service: Service,
         body: Body,
         respond,
         regions: tuple[str, ...],
-        tried: _Tried,
+        history: _AttemptHistory,
     ) -> bool:
         """Make one attempt; False if it failed and another one may follow."""
         try:
-            grant = await self._admit(call, regions, tried.excluded)
+            grant = await self._admit(call, regions, history.excluded)
         except CallError as error:
-            raise _after_attempts(error, tried.may_have_run) from error
-        begun = _Begun()
+            raise _with_earlier_attempts(error, history.may_have_run) from error
+        response_state = _ResponseState()
         try:
-            await self._attempt(call, grant, body, respond, begun)
+            await self._run_attempt(call, grant, body, respond, response_state)
         except UpstreamError as error:
-            if begun.responded:
+            if response_state.is_started:
                 raise
-            tried.note(grant.address, error.outcome)
-            if not self._may_retry(call, service, body, error, tried.count):
-                final = _as_call_error(error, call, self._come_back_in(call, regions))
-                raise _after_attempts(final, tried.may_have_run) from error
+            history.record_failure(grant.address, error.outcome)
+            if not self._may_retry(call, service, body, error, history.count):
+                final = _as_call_error(error, call, self._retry_delay_s(call, regions))
+                raise _with_earlier_attempts(final, history.may_have_run) from error
             self._metrics.count_retry(call.service)
             return False
         self._budget(call.service).earn()
@@ -210,7 +210,7 @@
         return may_retry(attempt, self._budget(call.service), expected)
 
     @contextmanager
-    def _regions(self, call: Call) -> Iterator[tuple[str, ...]]:
+    def _candidate_regions(self, call: Call) -> Iterator[tuple[str, ...]]:
         """Give the regions for one attempt; a trial of a region that is down ends with it."""
         caller = Caller(client_block(call.client), call.organisation)
         now = trio.current_time()
@@ -221,7 +221,7 @@
             if found.trial is not None:
                 found.trial.end()
 
-    def _come_back_in(self, call: Call, regions: tuple[str, ...]) -> float:
+    def _retry_delay_s(self, call: Call, regions: tuple[str, ...]) -> float:
         """Return the seconds after which a request that nobody took should come again."""
         now = trio.current_time()
         rested_in = self._view.gate.back_in(call.service, regions, now, frozenset())
@@ -229,119 +229,127 @@
 
     async def _admit(self, call: Call, regions: tuple[str, ...], excluded: frozenset[str]) -> Grant:
         now = trio.current_time()
-        ticket = Ticket(next(self._numbers), call.rank, call.deadline, now, regions, excluded)
+        ticket = Ticket(
+            next(self._ticket_numbers), call.rank, call.deadline, now, regions, excluded
+        )
         decision, evicted = self._view.gate.offer(call.service, ticket, now)
         for other, refusal in evicted:
-            self._decide(other, refusal)
+            self._deliver(other, refusal)
         if decision is None:
-            decision = await self._wait(call.service, ticket)
+            decision = await self._wait_for_decision(call.service, ticket)
         match decision:
             case Refusal():
                 raise refused(decision)
         return decision
 
-    async def _wait(self, service: str, ticket: Ticket) -> Grant | Refusal:
-        waiting = self._waiting[ticket.sequence] = _Waiting()
-        self._someone_waits.set()
+    async def _wait_for_decision(self, service: str, ticket: Ticket) -> Grant | Refusal:
+        waiting = self._waiting[ticket.sequence] = _QueuedRequest()
+        self._has_waiting.set()
         try:
             await waiting.event.wait()
             return waiting.decision
         except trio.Cancelled:
             if not self._view.gate.withdraw(service, ticket):
-                self._give_back(waiting.decision)
+                self._return_grant(waiting.decision)
             raise
         finally:
             del self._waiting[ticket.sequence]
 
-    def _give_back(self, decision: Grant | Refusal | None) -> None:
+    def _return_grant(self, decision: Grant | Refusal | None) -> None:
         if isinstance(decision, Grant):
             self._view.gate.release(decision, trio.current_time(), False, was_sent=False)
-            self.pump(decision.service)
+            self.process_queue(decision.service)
 
-    def _decide(self, ticket: Ticket, decision: Grant | Refusal) -> None:
+    def _deliver(self, ticket: Ticket, decision: Grant | Refusal) -> None:
         waiting = self._waiting.get(ticket.sequence)
         if waiting is not None:
             waiting.decision = decision
             waiting.event.set()
 
-    async def _attempt(self, call: Call, grant: Grant, body: Body, respond, begun: _Begun) -> None:
+    async def _run_attempt(
+        self, call: Call, grant: Grant, body: Body, respond, response_state: _ResponseState
+    ) -> None:
         succeeded = False
-        hold = _Hold(grant)
+        slot = _HeldSlot(grant)
         try:
             with trio.move_on_at(call.deadline) as scope:
-                await self._exchange(call, hold, body, respond, begun)
+                await self._exchange(call, slot, body, respond, response_state)
                 succeeded = True
             if scope.cancelled_caught:
                 detail = f"{grant.address} did not answer in time"
-                raise UpstreamError(Outcome.UNKNOWN, detail, healthy=self._was_hasty(call, grant))
+                raise UpstreamError(
+                    Outcome.UNKNOWN, detail, healthy=self._had_tight_deadline(call, grant)
+                )
         except UpstreamError as error:
-            hold.was_sent = error.was_sent
-            self._note_failure(grant.address, error)
+            slot.was_sent = error.was_sent
+            self._record_failure(grant.address, error)
             raise
         finally:
-            self._view.gate.release(hold.grant, trio.current_time(), succeeded, hold.was_sent)
-            self.pump(call.service)
+            self._view.gate.release(slot.grant, trio.current_time(), succeeded, slot.was_sent)
+            self.process_queue(call.service)
 
-    def _was_hasty(self, call: Call, grant: Grant) -> bool:
+    def _had_tight_deadline(self, call: Call, grant: Grant) -> bool:
         """Tell whether a caller gave an upstream so little time that its end says nothing of it.
 
         Else a few callers in a hurry would have upstreams ejected, and the region down, for all.
         """
         usual = self._view.gate.mean_hold_s(call.service)
-        return call.deadline - grant.at < HASTY_BELOW * usual
+        return call.deadline - grant.at < TIGHT_DEADLINE_FACTOR * usual
 
-    async def _exchange(self, call: Call, hold: _Hold, body: Body, respond, begun: _Begun) -> None:
-        grant = hold.grant
+    async def _exchange(
+        self, call: Call, slot: _HeldSlot, body: Body, respond, response_state: _ResponseState
+    ) -> None:
+        grant = slot.grant
         sent_at = trio.current_time()
         content = body.held if body.is_whole else body.stream()
-        headers = self._forwarded(call, body)
-        still_wants = functools.partial(self._still_wants, hold)
+        headers = self._request_headers(call, body)
+        may_send = functools.partial(self._may_still_send, slot)
         opened = self._client.open(
-            grant.address, call.method, call.target, headers, content, still_wants
+            grant.address, call.method, call.target, headers, content, may_send
         )
         async with opened as reply:
-            self._note_facts(call.service, grant.address, reply.facts)
+            self._record_metadata(call.service, grant.address, reply.facts)
             if is_own_answer(reply.status):
-                self._note_limit(call.service, grant.address, reply.facts.asked, sent_at)
+                self._record_limit(call.service, grant.address, reply.facts.asked, sent_at)
             if reply.facts.not_run:
                 self._view.directory.record_refusal(grant.address, trio.current_time())
                 raise UpstreamError(
                     Outcome.NOT_RUN, f"{grant.address} refused it before running", healthy=True
                 )
             chunks = reply.chunks()
-            held, rest = await _hold(chunks)
+            held, rest = await _read_buffered(chunks)
             answer = Answer(
                 reply.status,
-                [(n, v) for n, v in reply.headers if n.lower() not in _ANSWER_DROPPED],
+                [(n, v) for n, v in reply.headers if n.lower() not in _DROPPED_RESPONSE_HEADERS],
                 held,
                 rest,
                 grant.address,
                 grant.region,
             )
-            begun.responded = rest is not None
+            response_state.is_started = rest is not None
             if rest is None:
-                self._note_success(grant.address)
+                self._record_success(grant.address)
             await respond(answer)
             if rest is not None:
-                self._note_success(grant.address)
+                self._record_success(grant.address)
 
-    def _still_wants(self, hold: _Hold) -> bool:
+    def _may_still_send(self, slot: _HeldSlot) -> bool:
         """Look again at what an upstream has asked for while a connection came up."""
         directory = self._view.directory
-        address, now = hold.grant.address, trio.current_time()
+        address, now = slot.grant.address, trio.current_time()
         if directory.rest_left(address, now) > 0:
             return False
-        if hold.grant.is_counted:
+        if slot.grant.is_counted:
             return True
         if not directory.may_take(address, now):
             return False
         is_counted = directory.take(address, now)
-        hold.grant = msgspec.structs.replace(hold.grant, is_counted=is_counted)
+        slot.grant = msgspec.structs.replace(slot.grant, is_counted=is_counted)
         return True
 
-    def _forwarded(self, call: Call, body: Body) -> Headers:
+    def _request_headers(self, call: Call, body: Body) -> Headers:
         left_ms = max(1, int((call.deadline - trio.current_time()) * 1000))
-        headers = [(n, v) for n, v in call.headers if n.lower() not in _HOP_HEADERS]
+        headers = [(n, v) for n, v in call.headers if n.lower() not in _DROPPED_REQUEST_HEADERS]
         headers.append((b"host", call.service.encode()))
         headers.append((b"finchway-deadline-ms", str(left_ms).encode()))
         headers.append((b"finchway-organisation", call.organisation.encode()))
@@ -352,24 +360,24 @@
             headers.append((b"transfer-encoding", b"chunked"))
         return headers
 
-    def _note_facts(self, service: str, address: str, facts: Facts) -> None:
+    def _record_metadata(self, service: str, address: str, metadata: Facts) -> None:
         now = trio.current_time()
         directory = self._view.directory
-        directory.record_incarnation(address, facts.incarnation, now)
-        if facts.load is not None:
-            directory.record_report(address, LoadReport(facts.load, now))
-        if facts.asked.leaving and directory.mark_leaving(address):
+        directory.record_incarnation(address, metadata.incarnation, now)
+        if metadata.load is not None:
+            directory.record_report(address, LoadReport(metadata.load, now))
+        if metadata.asked.leaving and directory.mark_leaving(address):
             self._timeline.record(EventKind.UPSTREAM_LEAVING, address, "said by its answer")
             self._metrics.count_asked(service, "leaving")
-        if facts.asked.rest_s > 0:
-            directory.ask_rest(address, facts.asked.rest_s, now)
-            detail = f"asks for {facts.asked.rest_s:g} s of rest"
+        if metadata.asked.rest_s > 0:
+            directory.ask_rest(address, metadata.asked.rest_s, now)
+            detail = f"asks for {metadata.asked.rest_s:g} s of rest"
             self._timeline.record(EventKind.UPSTREAM_RESTING, address, detail)
             self._metrics.count_asked(service, "rest")
-        if facts.asked.unread or facts.asked.unread_limit is not None:
+        if metadata.asked.unread or metadata.asked.unread_limit is not None:
             self._metrics.count_asked(service, "unreadable")
 
-    def _note_limit(self, service: str, address: str, asked: Asked, sent_at: float) -> None:
+    def _record_limit(self, service: str, address: str, asked: Asked, sent_at: float) -> None:
         """Take in the limit that an answer names; one that makes no sense changes none."""
         if asked.limit is not None:
             self._metrics.count_asked(service, "limit")
@@ -380,29 +388,29 @@
             limit = "no limit any more" if asked.limit is None else f"{asked.limit:g} a second"
             self._timeline.record(EventKind.UPSTREAM_LIMITED, address, f"names {limit}")
 
-    def _note_success(self, address: str) -> None:
+    def _record_success(self, address: str) -> None:
         now = trio.current_time()
         _, changed = self._view.record_result(address, True, now)
         if changed:
-            self._note_region(EventKind.REGION_UP, address, "an answer came")
+            self._record_region_change(EventKind.REGION_UP, address, "an answer came")
 
-    def _note_failure(self, address: str, error: UpstreamError) -> None:
+    def _record_failure(self, address: str, error: UpstreamError) -> None:
         if error.healthy:
             return
         ejected, changed = self._view.record_result(address, False, trio.current_time())
         if ejected:
             self._timeline.record(EventKind.UPSTREAM_EJECTED, address, error.detail)
         if changed:
-            self._note_region(EventKind.REGION_DOWN, address, error.detail)
+            self._record_region_change(EventKind.REGION_DOWN, address, error.detail)
 
-    def _note_region(self, kind: EventKind, address: str, cause: str) -> None:
+    def _record_region_change(self, kind: EventKind, address: str, cause: str) -> None:
         """Say why a region counts as down or up now: what cannot be seen later any more."""
         key = self._view.pool_of(address)
         basis = self._view.describe_region(key, trio.current_time())
         self._timeline.record(kind, "/".join(key), f"{address}: {cause}; {basis}")
 
 
-class _Waiting:
+class _QueuedRequest:
     """Where a waiting request learns its decision."""
 
     __slots__ = ("decision", "event")
@@ -412,7 +420,7 @@
         self.decision: Grant | Refusal | None = None
 
 
-class _Hold:
+class _HeldSlot:
     """A slot that one attempt holds, and whether its upstream may have had the request."""
 
     __slots__ = ("grant", "was_sent")
@@ -422,7 +430,7 @@
         self.was_sent = True
 
 
-class _Tried:
+class _AttemptHistory:
     """The attempts of one request so far: how many, where, and whether any may have run it."""
 
     __slots__ = ("count", "excluded", "may_have_run")
@@ -432,42 +440,42 @@
         self.excluded: frozenset[str] = frozenset()
         self.may_have_run = False
 
-    def note(self, address: str, outcome: Outcome) -> None:
+    def record_failure(self, address: str, outcome: Outcome) -> None:
         """Take in that an attempt failed."""
         self.count += 1
         self.excluded |= {address}
         self.may_have_run = self.may_have_run or outcome is not Outcome.NOT_RUN
 
 
-class _Begun:
+class _ResponseState:
     """Whether the caller may have seen a part of the answer already."""
 
-    __slots__ = ("responded",)
+    __slots__ = ("is_started",)
 
     def __init__(self) -> None:
-        self.responded = False
+        self.is_started = False
 
 
-async def _hold(chunks: AsyncIterator[bytes]) -> tuple[bytes, AsyncIterator[bytes] | None]:
+async def _read_buffered(chunks: AsyncIterator[bytes]) -> tuple[bytes, AsyncIterator[bytes] | None]:
     """Read an answer up to a bound; the rest is None if that was all of it."""
     held: list[bytes] = []
     size = 0
     async for chunk in chunks:
         held.append(chunk)
         size += len(chunk)
-        if size > HOLD_BYTES:
+        if size > MAX_BUFFERED_BYTES:
             return b"".join(held), chunks
     return b"".join(held), None
 
 
-async def _read_whole(answer: Answer, limit: int) -> bytes | None:
+async def _complete_body(answer: Answer, limit: int) -> bytes | None:
     """Return the whole answer if it fits, so that it can be kept; else None."""
     if answer.rest is None and len(answer.held) <= limit:
         return answer.held
     return None
 
 
-def _after_attempts(error: CallError, may_have_run: bool) -> CallError:
+def _with_earlier_attempts(error: CallError, may_have_run: bool) -> CallError:
     """Say `not-run` only if no earlier attempt of the same request may have run.
 
     Nor with the status: 503 says the same to whoever reads no more than that, and would send the
@@ -478,10 +486,10 @@
     return CallError("broken", 502, Outcome.UNKNOWN, f"the last attempt broke; then {error.detail}")
 
 
-def _as_call_error(error: UpstreamError, call: Call, back_in: float) -> CallError:
+def _as_call_error(error: UpstreamError, call: Call, retry_delay_s: float) -> CallError:
     if error.outcome is Outcome.NOT_RUN:
         detail = f"no upstream took the request: {error.detail}"
-        return CallError("not-run", 503, Outcome.NOT_RUN, detail, retry_after(back_in))
+        return CallError("not-run", 503, Outcome.NOT_RUN, detail, retry_after(retry_delay_s))
     if trio.current_time() >= call.deadline:
         return CallError("deadline", 504, error.outcome, error.detail)
     return CallError("broken", 502, error.outcome, error.detail)
--- a/src/finchway/entry/_probe.py
+++ b/src/finchway/entry/_probe.py
@@ -25,9 +25,9 @@
 
 _LOG = logging.getLogger(__name__)
 PROBE_INTERVAL_S = 0.5
-QUIET_S = 1.0
-WATCH_S = 1.0
-WATCHERS = 2
+REPORT_STALE_S = 1.0
+MIN_PROBE_INTERVAL_S = 1.0
+PROBERS_PER_UPSTREAM = 2
 PROBE_TIMEOUT_S = 0.5
 PLATFORM_INTERVAL_S = 1.0
 HEALTH_PATH = "/finchway/health"
@@ -56,12 +56,12 @@
         timeline: Timeline,
         platform: Callable[[], Awaitable[PlatformList]] | None,
         instance: str,
-        in_touch: Callable[[], bool],
+        is_leader_reachable: Callable[[], bool],
     ) -> None:
         self._view = view
         self._instance = instance
-        self._in_touch = in_touch
-        self._asked_at: dict[str, float] = {}
+        self._is_leader_reachable = is_leader_reachable
+        self._probed_at: dict[str, float] = {}
         self._client = client
         self._timeline = timeline
         self._platform = platform
@@ -78,35 +78,35 @@
         while True:
             async with trio.open_nursery() as nursery:
                 for address in self._due():
-                    self._asked_at[address] = trio.current_time()
+                    self._probed_at[address] = trio.current_time()
                     nursery.start_soon(self._probe, address)
-            await self._client.keep_only(self._staying())
+            await self._client.keep_only(self._accepting_upstreams())
             await trio.sleep(PROBE_INTERVAL_S)
 
-    def _staying(self) -> set[str]:
+    def _accepting_upstreams(self) -> set[str]:
         """Return the upstreams that may still get new work."""
         return {s.address for s in self._view.directory if not (s.leaving or s.drained)}
 
     def _due(self) -> list[str]:
         """Return the upstreams to ask now."""
         now = trio.current_time()
-        watched = self._view.watched(WATCHERS, self._instance)
+        targets = self._view.probe_targets(PROBERS_PER_UPSTREAM, self._instance)
         own = self._view.own_upstreams(now)
         due = []
         for state in self._view.directory:
             address = state.address
-            asked_at = self._asked_at.get(address, float("-inf"))
-            if now - asked_at < WATCH_S or address not in own | watched:
+            probed_at = self._probed_at.get(address, float("-inf"))
+            if now - probed_at < MIN_PROBE_INTERVAL_S or address not in own | targets:
                 continue
             if self._view.directory.rest_left(address, now) > 0:
                 continue
-            quiet = state.report is None or now - state.report.at > QUIET_S
-            if quiet or address in watched or not self._in_touch():
+            is_stale = state.report is None or now - state.report.at > REPORT_STALE_S
+            if is_stale or address in targets or not self._is_leader_reachable():
                 due.append(address)
         return due
 
     async def _probe(self, address: str) -> None:
-        health = await self._ask(address)
+        health = await self._fetch_health(address)
         now = trio.current_time()
         if health is None:
             return
@@ -116,9 +116,9 @@
             directory.record_report(address, LoadReport(health.load, now))
         if health.leaving and directory.mark_leaving(address):
             self._timeline.record(EventKind.UPSTREAM_LEAVING, address, "said by its health")
-        self._probe_region(address)
+        self._reopen_region(address)
 
-    def _probe_region(self, address: str) -> None:
+    def _reopen_region(self, address: str) -> None:
         """Let a region that is down be tried again once one of its upstreams answers."""
         key = self._view.pool_of(address)
         if key is not None and self._view.is_region_down(*key):
@@ -127,12 +127,12 @@
             detail = f"{address}: its health answers; {basis}"
             self._timeline.record(EventKind.REGION_UP, "/".join(key), detail)
 
-    async def _ask(self, address: str) -> Health | None:
+    async def _fetch_health(self, address: str) -> Health | None:
         with trio.move_on_after(PROBE_TIMEOUT_S):
             try:
                 headers = [(b"host", b"health")]
                 opened = self._client.open(
-                    address, "GET", HEALTH_PATH, headers, b"", lambda: self._is_awake(address)
+                    address, "GET", HEALTH_PATH, headers, b"", lambda: self._is_not_resting(address)
                 )
                 async with opened as reply:
                     body = b"".join([chunk async for chunk in reply.chunks()])
@@ -143,7 +143,7 @@
                 _LOG.debug("health of %s: %s", address, error)
         return None
 
-    def _is_awake(self, address: str) -> bool:
+    def _is_not_resting(self, address: str) -> bool:
         return self._view.directory.rest_left(address, trio.current_time()) <= 0
 
     async def _poll_platform(self, source: Callable[[], Awaitable[PlatformList]]) -> None:
--- a/src/finchway/entry/_relay.py
+++ b/src/finchway/entry/_relay.py
@@ -19,30 +19,30 @@
 from finchway.transport import HeartbeatBatch, HeartbeatBatchReply
 
 GROUP_SIZE = 36
-FLUSH_S = 0.15
+BATCH_DELAY_S = 0.15
 
 
-def is_relay(store: ResourceStore, instance: str, zone: str, above: int) -> bool:
+def is_relay(store: ResourceStore, instance: str, zone: str, threshold: int) -> bool:
     """Tell whether relays are used and this entry is one."""
     live = [i for i in store.of_kind("instance") if i.spec.state is InstanceState.LIVE]
     known = any(i.name == instance for i in live)
-    return known and len(live) > above and relay_of(store, instance, zone, above) is None
+    return known and len(live) > threshold and relay_of(store, instance, zone, threshold) is None
 
 
-def relay_of(store: ResourceStore, instance: str, zone: str, above: int) -> str | None:
+def relay_of(store: ResourceStore, instance: str, zone: str, threshold: int) -> str | None:
     """Return the peer address of an entry's relay; None if it talks to control itself.
 
     Relays are used only when more than `above` entries are live.
     """
     live = [i for i in store.of_kind("instance") if i.spec.state is InstanceState.LIVE]
-    if len(live) <= above:
+    if len(live) <= threshold:
         return None
     peers = {i.name: i.spec.peer for i in live if i.spec.zone == zone}
     order = rank(f"relay/{zone}", peers)
     if instance not in peers:
         return peers[order[0]] if order else None
-    head = order[order.index(instance) // GROUP_SIZE * GROUP_SIZE]
-    return None if head == instance else peers[head]
+    relay = order[order.index(instance) // GROUP_SIZE * GROUP_SIZE]
+    return None if relay == instance else peers[relay]
 
 
 class _Pending(Struct, eq=False):
@@ -53,15 +53,15 @@
     reply: HeartbeatReply | None = None
 
 
-Ask = Callable[[HeartbeatBatch], Awaitable[HeartbeatBatchReply | None]]
+SendBatch = Callable[[HeartbeatBatch], Awaitable[HeartbeatBatchReply | None]]
 
 
-class RelayDesk:
+class HeartbeatBatcher:
     """Gathers the heartbeats of a group and sends them on together."""
 
-    def __init__(self, own: str, ask: Ask) -> None:
-        self._own = own
-        self._ask = ask
+    def __init__(self, instance: str, send_batch: SendBatch) -> None:
+        self._instance = instance
+        self._send_batch = send_batch
         self._pending: list[_Pending] = []
         self._wake = trio.Event()
         self._batches = 0
@@ -71,7 +71,7 @@
         """How many batches have been sent."""
         return self._batches
 
-    async def pass_on(self, heartbeat: Heartbeat) -> HeartbeatReply:
+    async def submit(self, heartbeat: Heartbeat) -> HeartbeatReply:
         """Send a member's heartbeat with the next batch; raises `TransportError` if it is lost."""
         pending = _Pending(heartbeat, trio.Event())
         self._pending.append(pending)
@@ -86,7 +86,7 @@
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wake.wait()
-                await trio.sleep(FLUSH_S)
+                await trio.sleep(BATCH_DELAY_S)
                 self._wake = trio.Event()
                 batch, self._pending = self._pending, []
                 if batch:
@@ -94,8 +94,8 @@
 
     async def _send(self, batch: list[_Pending]) -> None:
         self._batches += 1
-        batch.sort(key=lambda pending: pending.heartbeat.instance != self._own)
-        answer = await self._ask(HeartbeatBatch(heartbeats=[p.heartbeat for p in batch]))
+        batch.sort(key=lambda pending: pending.heartbeat.instance != self._instance)
+        answer = await self._send_batch(HeartbeatBatch(heartbeats=[p.heartbeat for p in batch]))
         replies = answer.replies if answer is not None else [None] * len(batch)
         for pending, reply in zip(batch, replies, strict=True):
             pending.reply = reply
--- a/src/finchway/entry/_role.py
+++ b/src/finchway/entry/_role.py
@@ -23,7 +23,7 @@
 
 # Seconds that an entry goes on serving beyond the time to live of steering answers, for those that
 # were on their way when it was withdrawn.
-STEER_LAG_S = 1.0
+STEER_GRACE_S = 1.0
 
 
 class EntryRole:
@@ -69,7 +69,7 @@
         self.started = trio.Event()
         self.app: EntryApp | None = None
         self._dispatcher: Dispatcher | None = None
-        self._desk: ClaimDesk | None = None
+        self._claims: ClaimDesk | None = None
 
     async def run(self) -> None:
         """Run the entry's loops until cancelled."""
@@ -77,11 +77,11 @@
         platform = settings.platform_address
         source = platform_source(platform) if platform else None
         async with trio.open_nursery() as nursery:
-            self._desk = ClaimDesk(self._identity.holder, self.session.submit, nursery)
+            self._claims = ClaimDesk(self._identity.holder, self.session.submit, nursery)
             self._dispatcher = Dispatcher(
                 self._view,
                 self._client,
-                self._desk,
+                self._claims,
                 self._timeline,
                 self._metrics,
                 lambda: not self.session.is_isolated,
@@ -90,7 +90,7 @@
                 lambda: self.session.is_confirmed,
                 lambda: self.session.has_lease,
                 lambda: self.session.is_leaving or self._view.is_drained,
-                self._set_metrics,
+                self._update_metrics,
             )
             self.app = EntryApp(self._view, self._dispatcher, self._metrics, state)
             prober = Prober(
@@ -118,17 +118,17 @@
                 (s.spec.steer_ttl_ms / 1000 for s in self._view.store.of_kind("service")),
                 default=0.0,
             )
-            await trio.sleep(longest + STEER_LAG_S)
+            await trio.sleep(longest + STEER_GRACE_S)
             await stop_server()
-            while self.app.concurrent or self._desk.unsettled:
+            while self.app.concurrent_requests or self._claims.unsettled:
                 await trio.sleep(0.05)
         with trio.move_on_after(1.0):
             await self.session.beat(stopped=True)
 
-    def _set_metrics(self) -> None:
+    def _update_metrics(self) -> None:
         self._metrics.set_state("revision", self._view.revision)
         self._metrics.set_state("in_flight", self._view.gate.in_flight)
         self._metrics.set_state("link_sent_bytes", self._link.sent_bytes)
         self._metrics.set_state("link_received_bytes", self._link.received_bytes)
         self._metrics.set_state("has_lease", float(self.session.has_lease))
-        self._metrics.set_state("unsettled_claims", self._desk.unsettled)
+        self._metrics.set_state("unsettled_claims", self._claims.unsettled)
--- a/src/finchway/entry/_session.py
+++ b/src/finchway/entry/_session.py
@@ -16,7 +16,7 @@
 import trio
 from msgspec import Struct
 
-from finchway.entry._relay import FLUSH_S, RelayDesk, is_relay, relay_of
+from finchway.entry._relay import BATCH_DELAY_S, HeartbeatBatcher, is_relay, relay_of
 from finchway.entry._view import EntryView
 from finchway.exceptions import FinchwayError, NotLeaderError
 from finchway.membership import Heartbeat, HeartbeatReply, LeaseTiming, RateReport, full_state
@@ -28,13 +28,13 @@
 
 _LOG = logging.getLogger(__name__)
 REQUEST_TIMEOUT_S = 0.6
-FELLOWS_ASKED = 2
+MAX_PEERS_TRIED = 2
 RELAY_TIMEOUT_S = 0.5
-RECENT_CHANGES = 2_000
-IN_TOUCH_S = 1.0
+MAX_RECENT_CHANGES = 2_000
+REPLY_FRESH_S = 1.0
 RELAY_ABOVE = 32
-RELAY_PAUSE_S = 2.0
-MEMBER_TIMEOUT_S = RELAY_TIMEOUT_S + 2 * FLUSH_S
+RELAY_RETRY_DELAY_S = 2.0
+RELAYED_HEARTBEAT_TIMEOUT_S = RELAY_TIMEOUT_S + 2 * BATCH_DELAY_S
 
 
 class EntryIdentity(Struct, frozen=True):
@@ -71,32 +71,32 @@
         self._identity = identity
         self._view = view
         self._link = link
-        self._peers = list(control_peers)
-        self._target = self._peers[0]
+        self._control_peers = list(control_peers)
+        self._control_address = self._control_peers[0]
         self._timing = timing
         self._timeline = timeline
         self._rng = rng
         self._isolated_after = isolated_after
         self._in_flight = in_flight
         self._relay_above = relay_above
-        self._relays_from = float("-inf")
-        self._relay = RelayDesk(identity.instance, self._ask_control)
+        self._relay_retry_at = float("-inf")
+        self._batcher = HeartbeatBatcher(identity.instance, self._send_to_control)
         self._sequence = 0
         self._loans_applied = 0
         self._limits_known = LimitsKnown()
         self._lease_until = float("-inf")
-        self._contact_at = float("-inf")
-        self._direct_at = float("-inf")
-        self._answered_at = float("-inf")
-        self._confirmed = False
+        self._last_contact_at = float("-inf")
+        self._last_direct_reply_at = float("-inf")
+        self._last_reply_at = float("-inf")
+        self._is_confirmed = False
         self._had_lease = False
-        self._leaving = False
-        self._recent: list[Change] = []
+        self._is_leaving = False
+        self._recent_changes: list[Change] = []
 
     @property
     def is_confirmed(self) -> bool:
         """Whether a quorum-confirmed configuration has been taken over since the start."""
-        return self._confirmed
+        return self._is_confirmed
 
     @property
     def has_lease(self) -> bool:
@@ -106,35 +106,35 @@
     @property
     def is_in_touch(self) -> bool:
         """Whether the leader answered a moment ago, so that news from others arrives."""
-        return trio.current_time() - self._answered_at < IN_TOUCH_S
+        return trio.current_time() - self._last_reply_at < REPLY_FRESH_S
 
     @property
     def is_isolated(self) -> bool:
         """Whether neither control nor any fellow has answered for too long."""
-        if self._isolated_after <= 0 or self.has_lease or not self._view.fellows():
+        if self._isolated_after <= 0 or self.has_lease or not self._view.live_peers():
             return False
-        return trio.current_time() - self._contact_at > self._isolated_after
+        return trio.current_time() - self._last_contact_at > self._isolated_after
 
     @property
     def is_leaving(self) -> bool:
         """Whether this entry has begun its planned stop."""
-        return self._leaving
+        return self._is_leaving
 
     def start_leaving(self) -> None:
         """Tell the leader from now on that this entry is leaving."""
-        self._leaving = True
+        self._is_leaving = True
 
     async def run(self) -> None:
         """Send heartbeats until cancelled, and those of fellows that this entry relays for."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._relay.run)
-            await self._beat_forever()
+            nursery.start_soon(self._batcher.run)
+            await self._send_heartbeats()
 
-    async def _beat_forever(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             started = trio.current_time()
             await self.beat()
-            self._note_lease()
+            self._record_lease_change()
             left = self._timing.interval - (trio.current_time() - started)
             await trio.sleep(max(0.01, left))
 
@@ -142,16 +142,16 @@
         """Send one heartbeat and apply its answer; False if nobody confirmed it."""
         heartbeat = self._heartbeat(stopped)
         sent_at = trio.current_time()
-        reply = None if stopped else await self._ask_relay(heartbeat)
+        reply = None if stopped else await self._send_via_relay(heartbeat)
         if reply is None:
-            reply = await self._ask_control(heartbeat)
+            reply = await self._send_to_control(heartbeat)
             if reply is not None:
-                self._direct_at = trio.current_time()
+                self._last_direct_reply_at = trio.current_time()
         if reply is None and not stopped:
-            reply = await self._ask_fellows(heartbeat)
+            reply = await self._send_via_peers(heartbeat)
         if reply is None:
             return False
-        self._apply(reply, sent_at)
+        self._apply_reply(reply, sent_at)
         return True
 
     async def submit(self, command: AnyCommand, timeout: float) -> AnyResult:
@@ -160,10 +160,12 @@
         while True:
             left = deadline - trio.current_time()
             try:
-                reply = await self._link.request(self._target, Submit(command=command), left)
+                reply = await self._link.request(
+                    self._control_address, Submit(command=command), left
+                )
                 return reply.result
             except NotLeaderError as error:
-                self._follow(error)
+                self._redirect(error)
                 if trio.current_time() + 0.02 >= deadline:
                     raise
                 await trio.sleep(0.02)
@@ -171,15 +173,15 @@
     async def handle(self, body: AnyBody, sender: str) -> AnyBody | None:
         """Answer a fellow entry: pass its heartbeat on, or give it the changes that it lacks."""
         match body:
-            case Heartbeat() if self._is_relay():
-                return self._with_changes(body, await self._relay.pass_on(body))
+            case Heartbeat() if self._can_relay():
+                return self._add_changes(body, await self._batcher.submit(body))
             case FetchChanges(since=since):
                 return self._changes_since(since)
         raise FinchwayError(f"this entry cannot answer {type(body).__name__} now")
 
-    def _is_relay(self) -> bool:
+    def _can_relay(self) -> bool:
         """Tell whether control answered this entry itself just now, not through a fellow."""
-        return trio.current_time() - self._direct_at < 2 * self._timing.interval + 0.5
+        return trio.current_time() - self._last_direct_reply_at < 2 * self._timing.interval + 0.5
 
     def _heartbeat(self, stopped: bool) -> Heartbeat:
         now = trio.current_time()
@@ -193,7 +195,7 @@
             zone=self._identity.zone,
             sequence=self._sequence,
             revision=view.revision,
-            leaving=self._leaving,
+            leaving=self._is_leaving,
             stopped=stopped,
             in_flight=self._in_flight(),
             loans_applied=self._loans_applied,
@@ -201,135 +203,135 @@
             shrunk=view.shrunk(now),
             drains=view.drain_reports(),
             loads=view.loads(now),
-            marks=view.marks(),
-            rates=[RateReport(o, s, rate) for o, s, rate in view.busy_rates(now)],
+            marks=view.leaving_marks(),
+            rates=[RateReport(o, s, rate) for o, s, rate in view.active_rates(now)],
             limits=view.directory.limits.told(now),
             limits_known=self._limits_known,
         )
 
-    async def _ask_relay(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
+    async def _send_via_relay(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
         """Ask this entry's relay, if it has one that has not failed it lately."""
-        if trio.current_time() < self._relays_from:
+        if trio.current_time() < self._relay_retry_at:
             return None
         identity = self._identity
         relay = relay_of(self._view.store, identity.instance, identity.zone, self._relay_above)
         if relay is None:
-            return await self._ask_as_relay(heartbeat)
+            return await self._send_as_relay(heartbeat)
         try:
-            return await self._link.request(relay, heartbeat, MEMBER_TIMEOUT_S)
+            return await self._link.request(relay, heartbeat, RELAYED_HEARTBEAT_TIMEOUT_S)
         except FinchwayError as error:
             _LOG.debug("relay at %s: %s", relay, error)
-            self._relays_from = trio.current_time() + RELAY_PAUSE_S
+            self._relay_retry_at = trio.current_time() + RELAY_RETRY_DELAY_S
             return None
 
-    async def _ask_as_relay(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
+    async def _send_as_relay(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
         """Send the own heartbeat with those of the group, if this entry is a relay."""
         identity = self._identity
         if not is_relay(self._view.store, identity.instance, identity.zone, self._relay_above):
             return None
         try:
-            reply = await self._relay.pass_on(heartbeat)
+            reply = await self._batcher.submit(heartbeat)
         except FinchwayError:
             return None
-        self._direct_at = trio.current_time()
+        self._last_direct_reply_at = trio.current_time()
         return reply
 
-    def _with_changes(self, heartbeat: Heartbeat, reply: HeartbeatReply) -> HeartbeatReply:
+    def _add_changes(self, heartbeat: Heartbeat, reply: HeartbeatReply) -> HeartbeatReply:
         """Add to an answer of the leader the changes that the member lacks and this entry has."""
         own = self._changes_since(heartbeat.revision)
         return msgspec.structs.replace(
             reply, changes=own.changes, snapshot=own.snapshot, snapshot_revision=own.revision
         )
 
-    async def _ask_control(self, body: Heartbeat | HeartbeatBatch) -> AnyBody | None:
+    async def _send_to_control(self, body: Heartbeat | HeartbeatBatch) -> AnyBody | None:
         for _ in range(2):
             try:
-                return await self._link.request(self._target, body, REQUEST_TIMEOUT_S)
+                return await self._link.request(self._control_address, body, REQUEST_TIMEOUT_S)
             except NotLeaderError as error:
-                if not self._follow(error):
+                if not self._redirect(error):
                     return None
             except FinchwayError as error:
-                _LOG.debug("control at %s: %s", self._target, error)
-                self._next_target()
+                _LOG.debug("control at %s: %s", self._control_address, error)
+                self._switch_control()
                 return None
         return None
 
-    def _follow(self, error: NotLeaderError) -> bool:
+    def _redirect(self, error: NotLeaderError) -> bool:
         if error.leader:
-            self._target = error.leader
+            self._control_address = error.leader
             return True
-        self._next_target()
+        self._switch_control()
         return False
 
-    def _next_target(self) -> None:
-        others = [peer for peer in self._peers if peer != self._target]
-        self._target = self._rng.choice(others) if others else self._peers[0]
+    def _switch_control(self) -> None:
+        others = [peer for peer in self._control_peers if peer != self._control_address]
+        self._control_address = self._rng.choice(others) if others else self._control_peers[0]
 
-    async def _ask_fellows(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
-        fellows = sorted(self._view.fellows().values())
-        for peer in self._rng.sample(fellows, min(FELLOWS_ASKED, len(fellows))):
+    async def _send_via_peers(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
+        peers = sorted(self._view.live_peers().values())
+        for peer in self._rng.sample(peers, min(MAX_PEERS_TRIED, len(peers))):
             try:
                 return await self._link.request(peer, heartbeat, RELAY_TIMEOUT_S)
             except FinchwayError:
-                await self._fetch_from(peer)
+                await self._fetch_changes(peer)
         return None
 
-    async def _fetch_from(self, peer: str) -> None:
+    async def _fetch_changes(self, peer: str) -> None:
         """Take over a fellow's newer changes, though nobody confirms them at the moment."""
         try:
             request = FetchChanges(since=self._view.revision)
             reply = await self._link.request(peer, request, RELAY_TIMEOUT_S)
         except FinchwayError:
             return
-        self._contact_at = trio.current_time()
+        self._last_contact_at = trio.current_time()
         if reply.snapshot is not None:
-            self._install(reply.snapshot, reply.revision)
+            self._install_snapshot(reply.snapshot, reply.revision)
         else:
-            self._take(reply.changes)
+            self._apply_changes(reply.changes)
 
-    def _apply(self, reply: HeartbeatReply, sent_at: float) -> None:
-        self._contact_at = self._answered_at = trio.current_time()
+    def _apply_reply(self, reply: HeartbeatReply, sent_at: float) -> None:
+        self._last_contact_at = self._last_reply_at = trio.current_time()
         if reply.snapshot is not None:
-            self._install(reply.snapshot, reply.snapshot_revision)
+            self._install_snapshot(reply.snapshot, reply.snapshot_revision)
         else:
-            self._take(reply.changes)
+            self._apply_changes(reply.changes)
         if reply.limits is not None:
-            self._view.directory.learn_limits(reply.limits.words, self._contact_at)
+            self._view.directory.learn_limits(reply.limits.words, self._last_contact_at)
             self._limits_known = reply.limits.known
         if self._view.revision < reply.revision:
             return
         self._lease_until = max(self._lease_until, sent_at + reply.lease_s)
-        self._confirmed = True
+        self._is_confirmed = True
         if reply.sequence == self._sequence:
             self._view.holder.set_loans(reply.loans, sent_at)
             self._loans_applied = reply.sequence
             self._view.set_rates(reply.rates)
 
-    def _install(self, state: list[Change], revision: int) -> None:
+    def _install_snapshot(self, state: list[Change], revision: int) -> None:
         if self._view.install(state, revision, trio.current_time()):
-            self._recent = []
-            self._note_revision()
+            self._recent_changes = []
+            self._record_revision()
 
-    def _take(self, changes: list[Change]) -> None:
+    def _apply_changes(self, changes: list[Change]) -> None:
         held = self._view.revision
         if self._view.apply(changes, trio.current_time()):
-            self._recent += [change for change in changes if change.revision > held]
-            del self._recent[:-RECENT_CHANGES]
-            self._note_revision()
+            self._recent_changes += [change for change in changes if change.revision > held]
+            del self._recent_changes[:-MAX_RECENT_CHANGES]
+            self._record_revision()
 
-    def _note_revision(self) -> None:
+    def _record_revision(self) -> None:
         self._timeline.record(EventKind.REVISION_APPLIED, f"revision {self._view.revision}")
 
     def _changes_since(self, since: int) -> Changes:
         view = self._view
         if since >= view.revision:
             return Changes(revision=view.revision)
-        if self._recent and self._recent[0].revision <= since + 1:
-            changes = [change for change in self._recent if change.revision > since]
+        if self._recent_changes and self._recent_changes[0].revision <= since + 1:
+            changes = [change for change in self._recent_changes if change.revision > since]
             return Changes(revision=view.revision, changes=changes)
         return Changes(revision=view.revision, snapshot=full_state(view.store))
 
-    def _note_lease(self) -> None:
+    def _record_lease_change(self) -> None:
         if self.has_lease == self._had_lease:
             return
         self._had_lease = self.has_lease
--- a/src/finchway/entry/_upstream.py
+++ b/src/finchway/entry/_upstream.py
@@ -21,9 +21,9 @@
 
 _CONNECT_TIMEOUT_S = 1.0
 _KEEPALIVE_S = 30.0
-_MAX_IDLE = 16
-_LEAVING = b"finchway-leaving"
-_LIMIT = b"finchway-limit"
+_MAX_IDLE_CONNECTIONS = 16
+_LEAVING_HEADER = b"finchway-leaving"
+_LIMIT_HEADER = b"finchway-limit"
 _NO_BODY_STATUSES = frozenset({204, 304})
 
 
@@ -48,27 +48,27 @@
             raise UpstreamError(Outcome.UNKNOWN, detail) from error
 
 
-class _AskedMeanwhileError(httpcore.ConnectError):
+class _SendNotAllowedError(httpcore.ConnectError):
     """The upstream asked for less while a connection to it came up."""
 
 
-class _Connector(httpcore.AsyncNetworkBackend):
+class _CheckingBackend(httpcore.AsyncNetworkBackend):
     """Opens connections, and closes those whose upstream has asked for less meanwhile.
 
     `still_wants` is asked once more when a connection is up.
     """
 
-    def __init__(self, still_wants: Callable[[], bool]) -> None:
+    def __init__(self, may_send: Callable[[], bool]) -> None:
         self._backend = httpcore.TrioBackend()
-        self._still_wants = still_wants
+        self._may_send = may_send
 
     async def connect_tcp(self, host, port, **options) -> httpcore.AsyncNetworkStream:
         """Connect to an upstream."""
         stream = await self._backend.connect_tcp(host, port, **options)
-        if self._still_wants():
+        if self._may_send():
             return stream
         await stream.aclose()
-        raise _AskedMeanwhileError("it has asked for less meanwhile")
+        raise _SendNotAllowedError("it has asked for less meanwhile")
 
     async def sleep(self, seconds: float) -> None:
         """Sleep between two tries."""
@@ -89,7 +89,7 @@
         target: str,
         headers: Headers,
         body: AsyncIterator[bytes] | bytes,
-        still_wants: Callable[[], bool] = lambda: True,
+        may_send: Callable[[], bool] = lambda: True,
     ) -> AsyncIterator[Reply]:
         """Send a request and yield the answer once its head has come.
 
@@ -97,7 +97,7 @@
         `still_wants` tells then whether the request may go out. Raises `UpstreamError`: `not-run`
         if no connection was made or wanted, `unknown` after that.
         """
-        connection, origin = await self._take(address, still_wants)
+        connection, origin = await self._acquire(address, may_send)
         url = httpcore.URL(
             scheme=b"http", host=origin.host, port=origin.port, target=target.encode("latin-1")
         )
@@ -110,7 +110,7 @@
         )
         try:
             response = await connection.handle_async_request(request)
-        except _AskedMeanwhileError as error:
+        except _SendNotAllowedError as error:
             detail = f"{address}: {error}"
             raise UpstreamError(Outcome.NOT_RUN, detail, True, was_sent=False) from error
         except (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout) as error:
@@ -125,9 +125,9 @@
         finally:
             with trio.CancelScope(shield=True):
                 await response.aclose()
-                await self._give_back(address, connection)
+                await self._release(address, connection)
 
-    async def forget(self, address: str) -> None:
+    async def close_idle(self, address: str) -> None:
         """Close the idle connections to an upstream that receives nothing new."""
         for connection in self._idle.pop(address, []):
             await connection.aclose()
@@ -135,10 +135,10 @@
     async def keep_only(self, addresses: set[str]) -> None:
         """Close the idle connections to all other upstreams."""
         for address in [a for a in self._idle if a not in addresses]:
-            await self.forget(address)
+            await self.close_idle(address)
 
-    async def _take(
-        self, address: str, still_wants: Callable[[], bool]
+    async def _acquire(
+        self, address: str, may_send: Callable[[], bool]
     ) -> tuple[httpcore.AsyncHTTPConnection, httpcore.Origin]:
         """Return an idle connection that still stands, the latest used first, or a new one."""
         host, _, port = address.rpartition(":")
@@ -150,13 +150,13 @@
                 return connection, origin
             await connection.aclose()
         connection = httpcore.AsyncHTTPConnection(
-            origin, keepalive_expiry=_KEEPALIVE_S, network_backend=_Connector(still_wants)
+            origin, keepalive_expiry=_KEEPALIVE_S, network_backend=_CheckingBackend(may_send)
         )
         return connection, origin
 
-    async def _give_back(self, address: str, connection: httpcore.AsyncHTTPConnection) -> None:
+    async def _release(self, address: str, connection: httpcore.AsyncHTTPConnection) -> None:
         idle = self._idle.setdefault(address, [])
-        if connection.is_idle() and len(idle) < _MAX_IDLE:
+        if connection.is_idle() and len(idle) < _MAX_IDLE_CONNECTIONS:
             idle.append(connection)
         else:
             await connection.aclose()
@@ -174,7 +174,7 @@
                 load = _number(value)
             case b"finchway-outcome":
                 not_run = status == 503 and value == b"not-run"
-    asked = read_asked(status, lowered, _LEAVING, _LIMIT, WALL.now())
+    asked = read_asked(status, lowered, _LEAVING_HEADER, _LIMIT_HEADER, WALL.now())
     return Facts(incarnation, load, not_run, asked)
 
 
--- a/src/finchway/entry/_view.py
+++ b/src/finchway/entry/_view.py
@@ -42,7 +42,7 @@
 
 # Seconds between two trials of a region whose requests run at most once: one that fails may leave
 # its caller not knowing whether the request ran.
-ONCE_ONLY_TRIALS_APART_S = 0.1
+ONCE_ONLY_TRIAL_INTERVAL_S = 0.1
 
 
 class EntryView:
@@ -66,7 +66,7 @@
         self._holder = holder or Holder(instance)
         self._directory = directory or Directory(rng)
         self._gate = Gate(self._holder, self._directory)
-        self._directory.divide_limits(self._part_of)
+        self._directory.divide_limits(self._limit_part)
         self._organisations: dict[str, str] = {}
         self._capacities: dict[tuple[str, str], Capacity] = {}
         self._active_moves: set[tuple[str, str]] = set()
@@ -77,8 +77,8 @@
         self._drains: dict[str, list[str]] = {}
         self._pool_of: dict[str, tuple[str, str]] = {}
         self._instance_drained = False
-        self._watched: set[str] = set()
-        self._watched_at = -1
+        self._probe_targets: set[str] = set()
+        self._probe_targets_revision = -1
 
     @property
     def store(self) -> ResourceStore:
@@ -138,7 +138,7 @@
         """Return the service and region that an upstream serves."""
         return self._pool_of.get(address)
 
-    def fellows(self) -> dict[str, str]:
+    def live_peers(self) -> dict[str, str]:
         """Return the peer addresses of the other live entries by name."""
         return {
             i.name: i.spec.peer
@@ -150,7 +150,7 @@
         """Apply deltas that follow the present revision; False if there is nothing new."""
         applied = [change for change in changes if self._store.apply(change)]
         if applied:
-            self._compile(now)
+            self._rebuild(now)
         return bool(applied)
 
     def install(self, state: list[Change], revision: int, now: float) -> bool:
@@ -158,7 +158,7 @@
         if revision <= self._store.revision:
             return False
         self._store = ResourceStore([change.resource() for change in state], revision)
-        self._compile(now)
+        self._rebuild(now)
         return True
 
     def rank_of(self, organisation: str, service: str, contract: Contract, now: float) -> int:
@@ -167,7 +167,7 @@
         self._windows.setdefault(key, RateWindow()).record(now)
         paid = self._rates.get(key)
         if paid is None:
-            paid = self._rates[key] = PaidRate(self._local_rate(service, contract), now)
+            paid = self._rates[key] = PaidRate(self._initial_rate(service, contract), now)
         priority = self._store.get("priority", contract.priority)
         rank = priority.spec.rank if priority else DEMOTED_RANK
         return rank if paid.take(now) else DEMOTED_RANK
@@ -180,7 +180,7 @@
             if paid is not None:
                 paid.rate = rate
 
-    def busy_rates(self, now: float) -> list[tuple[str, str, float]]:
+    def active_rates(self, now: float) -> list[tuple[str, str, float]]:
         """Return (organisation, service, requests/s) for all that are in use."""
         rates = [(o, s, window.rate(now)) for (o, s), window in self._windows.items()]
         return [entry for entry in rates if entry[2] > 0]
@@ -200,17 +200,19 @@
             return RegionChoice()
         assigned = order[0]
         source_down = self._is_down(service, assigned)
-        spill: tuple[str, ...] = ()
+        failover: tuple[str, ...] = ()
         for target in order[1:]:
             if not self._is_down(service, target):
-                ramp = self._advance(service, assigned, target, source_down, len(order), now)
+                ramp = self._advance_ramp(service, assigned, target, source_down, len(order), now)
                 ramp.record(rank)
                 if ramp.allows(rank, caller_position(service, assigned, caller)):
-                    spill = (target,)
+                    failover = (target,)
                 break
         if not source_down:
-            return RegionChoice((assigned, *spill))
-        return RegionChoice(spill) if spill else self._try_region(service, assigned, now)
+            return RegionChoice((assigned, *failover))
+        return (
+            RegionChoice(failover) if failover else self._begin_region_trial(service, assigned, now)
+        )
 
     def record_result(self, address: str, succeeded: bool, now: float) -> tuple[bool, bool]:
         """Note how a request at an upstream ended; returns (ejected now, region state changed)."""
@@ -267,19 +269,19 @@
         keys = self.share_keys()
         return {address for key in keys for address in self._holder.limits(key, now)}
 
-    def watched(self, watchers: int, instance: str) -> set[str]:
+    def probe_targets(self, probers: int, instance: str) -> set[str]:
         """Return the upstreams whose health this entry is to watch for all that share them."""
-        if self._watched_at != self.revision:
-            self._watched_at = self.revision
-            self._watched = {
+        if self._probe_targets_revision != self.revision:
+            self._probe_targets_revision = self.revision
+            self._probe_targets = {
                 address
                 for share in self._store.of_kind("share")
                 for address in share.spec.current.slots
-                if instance in rank(address, share.spec.current.members)[:watchers]
+                if instance in rank(address, share.spec.current.members)[:probers]
             }
-        return self._watched
+        return self._probe_targets
 
-    def marks(self) -> list[UpstreamMark]:
+    def leaving_marks(self) -> list[UpstreamMark]:
         """Return what the leader should know of upstreams that are leaving, or were."""
         found = []
         for state in self._directory:
@@ -311,7 +313,7 @@
                 sums.setdefault(f"{key[0]}.{key[1]}", []).append(state.report.load)
         return {name: sum(values) / len(values) for name, values in sums.items()}
 
-    def _part_of(self, address: str, limit: float) -> Part:
+    def _limit_part(self, address: str, limit: float) -> Part:
         """Return this entry's part of an upstream's limit.
 
         Its holders are the first of those that its slots are dealt to, who own most of them.
@@ -335,21 +337,21 @@
         states = [self._directory.get(a) for a in self._addresses_in((service, region))]
         return bool(states) and all(s is None or s.leaving or s.drained for s in states)
 
-    def _try_region(self, service: str, region: str, now: float) -> RegionChoice:
+    def _begin_region_trial(self, service: str, region: str, now: float) -> RegionChoice:
         """Return a region that is down, if one more request may try it now."""
         health = self._health.get((service, region))
         if health is None or not health.is_down:
             return RegionChoice()
         spec = self.service(service)
-        apart_s = ONCE_ONLY_TRIALS_APART_S if spec is not None and spec.once_only else 0.0
-        trial = health.begin_trial(now, len(self._addresses_in((service, region))), apart_s)
+        interval_s = ONCE_ONLY_TRIAL_INTERVAL_S if spec is not None and spec.once_only else 0.0
+        trial = health.begin_trial(now, len(self._addresses_in((service, region))), interval_s)
         return RegionChoice((region,), trial) if trial is not None else RegionChoice()
 
     def _addresses_in(self, key: tuple[str, str]) -> list[str]:
         """Return the upstreams of a service in a region."""
         return [address for address, owner in self._pool_of.items() if owner == key]
 
-    def _advance(
+    def _advance_ramp(
         self, service: str, source: str, target: str, down: bool, regions: int, now: float
     ) -> FailoverRamp:
         ramp = self._ramps.get((service, source, target))
@@ -363,12 +365,12 @@
         ramp.advance(part, capacity.window_s, down, now)
         return ramp
 
-    def _local_rate(self, service: str, contract: Contract) -> float:
+    def _initial_rate(self, service: str, contract: Contract) -> float:
         """Return this entry's part of a paid rate until the leader has said it."""
         spec = self.service(service)
         return contract.rate / max(1, spec.entries if spec else 1)
 
-    def _compile(self, now: float) -> None:
+    def _rebuild(self, now: float) -> None:
         store = self._store
         warm = self._routes.revision == 0
         self._routes = Routes(store, self._routes)
