--- a/src/finchway/entry/__init__.py
+++ b/src/finchway/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry role: steering answers, and requests carried to upstreams."""
+"""The entry role: answers steering requests and proxies requests to upstreams."""
 
 from finchway.entry._app import EntryApp, EntryState
 from finchway.entry._call import Answer, Body, Call, CallError, Facts, UpstreamError
--- a/src/finchway/entry/_app.py
+++ b/src/finchway/entry/_app.py
@@ -1,7 +1,7 @@
-"""What callers see: steering answers, and the requests themselves, as an ASGI application.
+"""ASGI application for callers: steering answers and requests to services.
 
-GET /steer/{service}     which entries to use, for how long, at which revision
-ANY /s/{service}/...     a request to the service; the path after the service goes upstream
+GET /steer/{service}     entries to use, with their time to live and revision
+ANY /s/{service}/...     a request to the service, forwarded with the path after its name
 GET /healthz /readyz /metrics
 """
 
@@ -45,7 +45,7 @@
 
 
 class SteerAnswer(Struct, frozen=True):
-    """A steering answer; a caller may keep it for `ttl_ms`."""
+    """A steering answer; callers may cache it for `ttl_ms`."""
 
     service: str
     entries: list[SteerPoint]
@@ -54,9 +54,9 @@
 
 
 class EntryState(Struct):
-    """What the rest of the process tells the application about itself.
+    """Callbacks to the rest of the process.
 
-    `is_current` tells whether the leader has confirmed the entry's revision a moment ago.
+    `is_current` returns whether the leader has recently confirmed the entry's revision.
     """
 
     is_ready: Callable[[], bool]
@@ -66,7 +66,7 @@
 
 
 class CallerBody:
-    """A caller's body, held in memory up to a bound and streamed beyond it."""
+    """A request body that is buffered up to a bound and streamed beyond it."""
 
     __slots__ = ("_held", "_limit", "_has_more", "_receive", "_size", "_is_streamed")
 
@@ -80,32 +80,32 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether the whole body is held in memory."""
+        """Whether the whole body is buffered."""
         return not self._has_more
 
     @property
     def held(self) -> bytes:
-        """What is held in memory."""
+        """The buffered part of the body."""
         return self._held
 
     async def fill(self) -> None:
-        """Read the body up to the bound."""
+        """Buffer the body up to the bound."""
         chunks = []
         while self._has_more and self._size <= MAX_BUFFERED_BYTES:
             chunks.append(await self._next())
         self._held = b"".join(chunks)
 
     async def stream(self) -> AsyncIterator[bytes]:
-        """Yield what is held, then the rest as it comes."""
+        """Yield the buffered part, then the remainder as it arrives."""
         if self._is_streamed:
-            raise UpstreamError(Outcome.UNKNOWN, "the body cannot be sent a second time")
+            raise UpstreamError(Outcome.UNKNOWN, "a streamed request body cannot be sent again")
         self._is_streamed = True
         yield self._held
         while self._has_more:
             yield await self._next()
 
     async def wait_disconnect(self) -> None:
-        """Return when the caller has gone; only once the body has been read."""
+        """Return when the caller disconnects; may be called only after the body has been read."""
         while True:
             event = await self._receive()
             if event["type"] == "http.disconnect":
@@ -124,7 +124,7 @@
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection before its request was whole."""
+    """The caller disconnected before its request was complete or answered."""
 
 
 class EntryApp:
@@ -141,7 +141,7 @@
 
     @property
     def concurrent_requests(self) -> int:
-        """How many requests of callers are being served."""
+        """The number of requests that are being served."""
         return self._concurrent_requests
 
     async def __call__(self, scope: dict[str, Any], receive, respond) -> None:
@@ -196,14 +196,16 @@
         await send_json(respond, answer, 200, [(b"cache-control", max_age)])
 
     def _refusal(self, kind: str, status: int, detail: str) -> CallError:
-        """Return the refusal of what is not known or not allowed here.
+        """Return the error for an unknown resource or a denied request.
 
-        Without the leader's word it may have been accepted meanwhile, and a denial is final for its
-        caller: then another entry, or this one a moment later, knows better.
+        Callers treat a denial as final. Without a recent confirmation by the leader the entry's
+        configuration may be stale, so a temporary error is returned instead.
         """
         if self._state.is_current():
             return CallError(kind, status, Outcome.NOT_RUN, detail)
-        return CallError("not-current", 503, Outcome.NOT_RUN, f"as far as known, {detail}", 1.0)
+        return CallError(
+            "not-current", 503, Outcome.NOT_RUN, f"not confirmed by the leader: {detail}", 1.0
+        )
 
     async def _refuse_service(self, service: str, respond) -> None:
         if self._state.is_ready():
@@ -226,7 +228,7 @@
             outcome = error.outcome.value
             await response.send_error(error)
         except BodyTooLargeError:
-            error = CallError("too-large", 413, Outcome.NOT_RUN, "the body is too large")
+            error = CallError("too-large", 413, Outcome.NOT_RUN, "the request body is too large")
             if response.dispatched:
                 error.outcome = Outcome.UNKNOWN
             outcome = error.outcome.value
@@ -242,7 +244,7 @@
         if not self._state.is_ready():
             raise _not_ready()
         if self._concurrent_requests > MAX_CONCURRENT_REQUESTS:
-            raise CallError("busy", 503, Outcome.NOT_RUN, "too many requests at once", 1.0)
+            raise CallError("busy", 503, Outcome.NOT_RUN, "too many concurrent requests", 1.0)
         spec = self._view.service(service)
         if spec is None:
             raise self._refusal("not-found", 404, f"no service {service!r}")
@@ -288,10 +290,15 @@
         with trio.move_on_at(call.deadline) as scope:
             await body.fill()
         if scope.cancelled_caught:
-            raise CallError("deadline", 408, Outcome.NOT_RUN, "the request came too slowly")
+            raise CallError(
+                "deadline",
+                408,
+                Outcome.NOT_RUN,
+                "the request body did not arrive before the deadline",
+            )
         response.dispatched = True
         if spec.once_only:
-            # A caller that goes away must not leave its key in doubt: the request is finished.
+            # Completed even if the caller disconnects, so that the outcome of its key is known.
             await self._dispatch(call, body, response)
             return
         await self._dispatch_while_connected(call, body, response)
@@ -299,7 +306,7 @@
     async def _dispatch_while_connected(
         self, call: Call, body: CallerBody, response: _CallerResponse
     ) -> None:
-        """Cancel the request at its upstream when the caller goes away."""
+        """Dispatch a request and cancel it if the caller disconnects."""
         failure: Exception | None = None
         finished = False
         async with trio.open_nursery() as nursery:
@@ -324,7 +331,7 @@
 
 
 class _CallerResponse:
-    """The answer to one caller: started at most once, and whole or visibly broken."""
+    """The response to one caller; an incomplete one is aborted, so that its caller detects it."""
 
     def __init__(self, respond, revision: int) -> None:
         self._respond = respond
@@ -333,19 +340,19 @@
         self.dispatched = False
 
     async def send_answer(self, answer: Answer) -> None:
-        """Send an upstream's answer; what is not held yet is streamed as it comes."""
+        """Send an upstream's response; the unbuffered part is streamed as it arrives."""
         self._started = True
-        own = [
+        added = [
             (b"finchway-upstream", answer.upstream.encode()),
             (b"finchway-region", answer.region.encode()),
             (b"finchway-revision", str(self._revision).encode()),
         ]
         names = {name.lower() for name, _ in answer.headers}
         if b"finchway-outcome" not in names:
-            own.append((b"finchway-outcome", b"ran"))
+            added.append((b"finchway-outcome", b"ran"))
         if answer.rest is None and b"content-length" not in names:
-            own.append((b"content-length", str(len(answer.held)).encode()))
-        await send_start(self._respond, answer.status, [*answer.headers, *own])
+            added.append((b"content-length", str(len(answer.held)).encode()))
+        await send_start(self._respond, answer.status, [*answer.headers, *added])
         more = answer.rest is not None
         await self._send_body(answer.held, more)
         if answer.rest is not None:
@@ -354,7 +361,7 @@
             await self._send_body(b"", False)
 
     async def send_error(self, error: CallError) -> None:
-        """Send an error, or break off visibly if a part of an answer is out already."""
+        """Send an error response, or abort the connection if a response has been started."""
         if self._started:
             raise ConnectionAbortedError(error.detail)
         problem = _as_problem(error)
--- a/src/finchway/entry/_call.py
+++ b/src/finchway/entry/_call.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through an entry, and the ways that it can end."""
+"""A caller's request as an entry handles it, the upstream's response, and the errors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Call(Struct):
-    """A request as the entry took it from its caller; `deadline` is on the entry's clock."""
+    """A request received from a caller; `arrived` and `deadline` are on the entry's clock."""
 
     service: str
     organisation: str
@@ -31,22 +31,22 @@
 
 
 class Body(Protocol):
-    """The caller's body; it can be sent again only while all of it is held."""
+    """A request body; it can be sent again only if all of it is buffered."""
 
     @property
     def is_whole(self) -> bool:
-        """Whether the whole body is held in memory."""
+        """Whether the whole body is buffered."""
 
     @property
     def held(self) -> bytes:
-        """What is held in memory."""
+        """The buffered part of the body."""
 
     def stream(self) -> AsyncIterator[bytes]:
-        """Yield the body from its start, at most once beyond what is held."""
+        """Yield the body from its start; the part that is not buffered can be read only once."""
 
 
 class Answer(Struct):
-    """An upstream's answer: what is held so far, and the rest if there is more."""
+    """An upstream's response: the buffered part of its body, and a stream of the remainder."""
 
     status: int
     headers: Headers
@@ -57,7 +57,7 @@
 
 
 class Facts(Struct, frozen=True):
-    """What an upstream said of itself along with an answer, and what it asked for."""
+    """What a response's headers report about the upstream, and what they request of the sender."""
 
     incarnation: str = ""
     load: float | None = None
@@ -66,7 +66,7 @@
 
 
 class CallError(Exception):
-    """A request that ended without an answer of an upstream."""
+    """A request failed; its caller receives an error response from finchway itself."""
 
     def __init__(
         self, kind: str, status: int, outcome: Outcome, detail: str, retry_after_s: float = 0.0
@@ -80,14 +80,15 @@
 
 
 def refused(refusal: Refusal) -> CallError:
-    """Turn a refusal of the gate into the error that the caller sees."""
+    """Convert a refusal by admission control to the caller's error."""
     return CallError("refused", 503, Outcome.NOT_RUN, refusal.reason, refusal.retry_after_s)
 
 
 class UpstreamError(Exception):
-    """An attempt at an upstream failed; `outcome` says what is known of the request.
+    """An attempt at an upstream failed; `outcome` states whether the request may have run.
 
-    `was_sent` tells whether the upstream may have had it at all.
+    `healthy` means that the failure does not count against the upstream. `was_sent` is false only
+    if no part of the request was sent.
     """
 
     def __init__(
--- a/src/finchway/entry/_claims.py
+++ b/src/finchway/entry/_claims.py
@@ -1,8 +1,8 @@
-"""Claims on idempotency keys as an entry makes them: claim, dispatch, settle.
+"""An entry's claims on idempotency keys, which are replicated by control.
 
-Nothing is dispatched before the claim is granted. Whatever happens after that, the claim is
-settled in the background until the leader has it; `not-run` is said only after the release is
-committed.
+A request is dispatched only after its claim is granted. Afterwards the claim is settled in the
+background with retries until the leader confirms it. `not-run` is reported to the caller only
+after the release is committed.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class StoredAnswer(Struct, frozen=True):
-    """An answer as it is kept with its claim; `complete` is false if it was too large."""
+    """A response stored with its claim; `complete` is false if it was too large to be stored."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -42,7 +42,7 @@
 
 
 class ClaimDesk:
-    """Claims keys for one life of an entry."""
+    """Claims idempotency keys for one incarnation of an entry."""
 
     def __init__(self, holder: str, submit: Submit, nursery: trio.Nursery) -> None:
         self._holder = holder
@@ -52,14 +52,14 @@
 
     @property
     def unsettled(self) -> int:
-        """How many claims the leader does not yet know the end of."""
+        """The number of claims whose settlement is not confirmed yet."""
         return self._unsettled
 
     async def claim(self, call: Call, body: bytes, retain_s: float) -> str | Answer:
-        """Return the attempt that may dispatch, or the answer of the one that ran.
+        """Return the id of the attempt that may run, or the stored response of an earlier one.
 
-        Raises `CallError` when the key is in use, unknown, too old, or was used otherwise, and
-        when no quorum grants it in time: then nothing was or will be dispatched.
+        Raises `CallError` if the key is in use, has an unknown outcome, has expired or belongs to
+        a different request, or if no quorum grants the claim in time. Nothing is dispatched then.
         """
         attempt = uuid.uuid4().hex
         command = ClaimKey(
@@ -83,15 +83,19 @@
         if result is None:
             self._nursery.start_soon(self._settle, call, attempt, ClaimState.RELEASED, b"")
             raise CallError(
-                "claim-unavailable", 503, Outcome.NOT_RUN, "the key could not be claimed", 1.0
+                "claim-unavailable",
+                503,
+                Outcome.NOT_RUN,
+                "the key could not be claimed in time",
+                1.0,
             )
         return _interpret_claim(result, attempt)
 
     async def release(self, call: Call, attempt: str) -> bool:
-        """Commit that the attempt certainly did not run; False if that takes over a second.
+        """Release the claim of an attempt that did not run; return whether that is confirmed.
 
-        The caller of a request that was given up must not wait for its deadline; the release goes
-        on in the background.
+        The wait is limited, so that the caller is not held until its deadline; an unconfirmed
+        release continues in the background.
         """
         done = trio.Event()
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.RELEASED, b"", done)
@@ -100,7 +104,7 @@
         return done.is_set()
 
     async def complete(self, call: Call, attempt: str, answer: Answer, body: bytes | None) -> None:
-        """Record the answer in the background; `body` is None if it was too large to keep."""
+        """Store the response in the background; `body` is None if it was too large."""
         stored = StoredAnswer(
             answer.status,
             answer.headers,
@@ -113,7 +117,7 @@
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.DONE, encoded)
 
     def mark_unknown(self, call: Call, attempt: str) -> None:
-        """Record in the background that nobody can tell whether the attempt ran."""
+        """Record in the background that the attempt may or may not have run."""
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.UNKNOWN, b"")
 
     async def _settle(
@@ -155,7 +159,7 @@
         detail = "this Idempotency-Key was used for another request"
         raise CallError("key-reused", 422, Outcome.NOT_RUN, detail)
     if result.expired:
-        detail = "this Idempotency-Key is older than its records are kept"
+        detail = "the record of this Idempotency-Key has expired"
         raise CallError("key-expired", 422, Outcome.UNKNOWN, detail)
     match result.state:
         case ClaimState.DONE:
--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -1,7 +1,7 @@
-"""The way of a request through an entry: admit, choose, send, retry, answer.
+"""Request dispatch in an entry: admission, upstream choice, forwarding and retries.
 
-The dispatcher does no I/O of its own: it is given the client for upstreams and the claim desk, so
-that tests and benches run it on virtual time with fakes.
+The dispatcher does no I/O itself. The upstream client and the idempotency-key claims are passed
+in, so that tests and benchmarks can run it on virtual time with fakes.
 """
 
 from __future__ import annotations
@@ -45,7 +45,8 @@
 
 MAX_BUFFERED_BYTES = 65_536
 QUEUE_INTERVAL_S = 0.02
-# An upstream that is given less than so many times what a request usually takes may well be fine.
+# A timeout counts against an upstream only if the request had at least this multiple of the mean
+# service time.
 TIGHT_DEADLINE_FACTOR = 2.0
 _DROPPED_REQUEST_HEADERS = frozenset(
     {
@@ -69,7 +70,7 @@
 
 
 class Dispatcher:
-    """Carries requests from callers to upstreams."""
+    """Forwards callers' requests to upstreams."""
 
     def __init__(
         self,
@@ -94,7 +95,7 @@
         self._has_waiting = trio.Event()
 
     async def run(self) -> None:
-        """Serve waiting requests whenever slots come free or deadlines pass."""
+        """Process queued requests at a fixed interval while there are any."""
         while True:
             if not self._waiting:
                 await self._has_waiting.wait()
@@ -103,14 +104,14 @@
             await trio.sleep(QUEUE_INTERVAL_S)
 
     def process_queue(self, service: str | None = None) -> None:
-        """Hand out free slots and refuse what is late."""
+        """Grant free slots to queued requests and refuse those that cannot meet their deadline."""
         for ticket, decision in self._view.gate.pump(trio.current_time(), service):
             self._deliver(ticket, decision)
 
     async def serve(self, call: Call, body: Body, respond) -> None:
-        """Serve one request; `respond` is called with the answer while it is still open.
+        """Serve one request; `respond` is called with the response while its stream is open.
 
-        Raises `CallError` if the caller gets an error of finchway instead.
+        Raises `CallError` if the caller is to receive an error response instead.
         """
         service = self._view.service(call.service)
         if not self._may_serve():
@@ -123,7 +124,7 @@
 
     async def _serve_once_only(self, call: Call, service: Service, body: Body, respond) -> None:
         if not body.is_whole:
-            detail = f"requests with a key are limited to {MAX_BUFFERED_BYTES} bytes"
+            detail = f"requests with an Idempotency-Key are limited to {MAX_BUFFERED_BYTES} bytes"
             raise CallError("too-large", 413, Outcome.NOT_RUN, detail)
         claimed = await self._claims.claim(call, body.held, service.retain_s)
         if isinstance(claimed, Answer):
@@ -146,7 +147,7 @@
             if error.outcome is Outcome.NOT_RUN:
                 settled = True
                 if not await self._claims.release(call, claimed):
-                    detail = "the request did not run, but its key is not free yet"
+                    detail = "the request did not run, but its key is not released yet"
                     raise CallError("release-pending", 503, Outcome.NOT_RUN, detail, 2.0) from error
             raise
         finally:
@@ -170,7 +171,7 @@
         regions: tuple[str, ...],
         history: _AttemptHistory,
     ) -> bool:
-        """Make one attempt; False if it failed and another one may follow."""
+        """Make one attempt; return False if it failed and may be retried."""
         try:
             grant = await self._admit(call, regions, history.excluded)
         except CallError as error:
@@ -211,21 +212,21 @@
 
     @contextmanager
     def _candidate_regions(self, call: Call) -> Iterator[tuple[str, ...]]:
-        """Give the regions for one attempt; a trial of a region that is down ends with it."""
+        """Yield the regions for one attempt; ends a trial of a region that is down afterwards."""
         caller = Caller(client_block(call.client), call.organisation)
         now = trio.current_time()
-        found = self._view.candidates(call.service, call.home, caller, call.rank, now)
+        choice = self._view.candidates(call.service, call.home, caller, call.rank, now)
         try:
-            yield found.regions
+            yield choice.regions
         finally:
-            if found.trial is not None:
-                found.trial.end()
+            if choice.trial is not None:
+                choice.trial.end()
 
     def _retry_delay_s(self, call: Call, regions: tuple[str, ...]) -> float:
-        """Return the seconds after which a request that nobody took should come again."""
+        """Return the seconds after which a caller should retry a request that did not run."""
         now = trio.current_time()
-        rested_in = self._view.gate.back_in(call.service, regions, now, frozenset())
-        return max(4 * self._view.gate.mean_hold_s(call.service), rested_in)
+        available_in = self._view.gate.back_in(call.service, regions, now, frozenset())
+        return max(4 * self._view.gate.mean_hold_s(call.service), available_in)
 
     async def _admit(self, call: Call, regions: tuple[str, ...], excluded: frozenset[str]) -> Grant:
         now = trio.current_time()
@@ -276,7 +277,7 @@
                 await self._exchange(call, slot, body, respond, response_state)
                 succeeded = True
             if scope.cancelled_caught:
-                detail = f"{grant.address} did not answer in time"
+                detail = f"{grant.address} did not respond before the deadline"
                 raise UpstreamError(
                     Outcome.UNKNOWN, detail, healthy=self._had_tight_deadline(call, grant)
                 )
@@ -289,12 +290,13 @@
             self.process_queue(call.service)
 
     def _had_tight_deadline(self, call: Call, grant: Grant) -> bool:
-        """Tell whether a caller gave an upstream so little time that its end says nothing of it.
+        """Return whether the deadline was too tight for a timeout to count against the upstream.
 
-        Else a few callers in a hurry would have upstreams ejected, and the region down, for all.
+        Otherwise a few callers with short timeouts could get healthy upstreams ejected and their
+        region marked as down for all callers.
         """
-        usual = self._view.gate.mean_hold_s(call.service)
-        return call.deadline - grant.at < TIGHT_DEADLINE_FACTOR * usual
+        mean_s = self._view.gate.mean_hold_s(call.service)
+        return call.deadline - grant.at < TIGHT_DEADLINE_FACTOR * mean_s
 
     async def _exchange(
         self, call: Call, slot: _HeldSlot, body: Body, respond, response_state: _ResponseState
@@ -314,7 +316,9 @@
             if reply.facts.not_run:
                 self._view.directory.record_refusal(grant.address, trio.current_time())
                 raise UpstreamError(
-                    Outcome.NOT_RUN, f"{grant.address} refused it before running", healthy=True
+                    Outcome.NOT_RUN,
+                    f"{grant.address} refused the request before running it",
+                    healthy=True,
                 )
             chunks = reply.chunks()
             held, rest = await _read_buffered(chunks)
@@ -334,7 +338,7 @@
                 self._record_success(grant.address)
 
     def _may_still_send(self, slot: _HeldSlot) -> bool:
-        """Look again at what an upstream has asked for while a connection came up."""
+        """Check again for a backoff or rate limit once a new connection is established."""
         directory = self._view.directory
         address, now = slot.grant.address, trio.current_time()
         if directory.rest_left(address, now) > 0:
@@ -378,7 +382,7 @@
             self._metrics.count_asked(service, "unreadable")
 
     def _record_limit(self, service: str, address: str, asked: Asked, sent_at: float) -> None:
-        """Take in the limit that an answer names; one that makes no sense changes none."""
+        """Record the rate limit that a response states; an unreadable one is ignored."""
         if asked.limit is not None:
             self._metrics.count_asked(service, "limit")
         elif asked.unread_limit is not None:
@@ -404,14 +408,14 @@
             self._record_region_change(EventKind.REGION_DOWN, address, error.detail)
 
     def _record_region_change(self, kind: EventKind, address: str, cause: str) -> None:
-        """Say why a region counts as down or up now: what cannot be seen later any more."""
+        """Record why a region went down or up, with the failure counts at that moment."""
         key = self._view.pool_of(address)
         basis = self._view.describe_region(key, trio.current_time())
         self._timeline.record(kind, "/".join(key), f"{address}: {cause}; {basis}")
 
 
 class _QueuedRequest:
-    """Where a waiting request learns its decision."""
+    """A queued request; `event` is set once `decision` is available."""
 
     __slots__ = ("decision", "event")
 
@@ -421,7 +425,7 @@
 
 
 class _HeldSlot:
-    """A slot that one attempt holds, and whether its upstream may have had the request."""
+    """The slot held by one attempt; `was_sent` is false if the request was never sent."""
 
     __slots__ = ("grant", "was_sent")
 
@@ -431,7 +435,7 @@
 
 
 class _AttemptHistory:
-    """The attempts of one request so far: how many, where, and whether any may have run it."""
+    """Failed attempts of one request: their count, the upstreams, and whether any may have run."""
 
     __slots__ = ("count", "excluded", "may_have_run")
 
@@ -441,14 +445,13 @@
         self.may_have_run = False
 
     def record_failure(self, address: str, outcome: Outcome) -> None:
-        """Take in that an attempt failed."""
         self.count += 1
         self.excluded |= {address}
         self.may_have_run = self.may_have_run or outcome is not Outcome.NOT_RUN
 
 
 class _ResponseState:
-    """Whether the caller may have seen a part of the answer already."""
+    """Whether a streamed response to the caller has been started."""
 
     __slots__ = ("is_started",)
 
@@ -457,7 +460,7 @@
 
 
 async def _read_buffered(chunks: AsyncIterator[bytes]) -> tuple[bytes, AsyncIterator[bytes] | None]:
-    """Read an answer up to a bound; the rest is None if that was all of it."""
+    """Buffer a response body up to a bound; return it and the unread remainder, if any."""
     held: list[bytes] = []
     size = 0
     async for chunk in chunks:
@@ -469,26 +472,27 @@
 
 
 async def _complete_body(answer: Answer, limit: int) -> bytes | None:
-    """Return the whole answer if it fits, so that it can be kept; else None."""
+    """Return the whole body if it is small enough to be stored; else None."""
     if answer.rest is None and len(answer.held) <= limit:
         return answer.held
     return None
 
 
 def _with_earlier_attempts(error: CallError, may_have_run: bool) -> CallError:
-    """Say `not-run` only if no earlier attempt of the same request may have run.
+    """Replace a `not-run` error if an earlier attempt of the same request may have run.
 
-    Nor with the status: 503 says the same to whoever reads no more than that, and would send the
-    request again.
+    The status changes too: a client that reads only the status would retry after a 503.
     """
     if not may_have_run or error.outcome is not Outcome.NOT_RUN:
         return error
-    return CallError("broken", 502, Outcome.UNKNOWN, f"the last attempt broke; then {error.detail}")
+    return CallError(
+        "broken", 502, Outcome.UNKNOWN, f"an earlier attempt may have run; then {error.detail}"
+    )
 
 
 def _as_call_error(error: UpstreamError, call: Call, retry_delay_s: float) -> CallError:
     if error.outcome is Outcome.NOT_RUN:
-        detail = f"no upstream took the request: {error.detail}"
+        detail = f"no upstream accepted the request: {error.detail}"
         return CallError("not-run", 503, Outcome.NOT_RUN, detail, retry_after(retry_delay_s))
     if trio.current_time() >= call.deadline:
         return CallError("deadline", 504, error.outcome, error.detail)
--- a/src/finchway/entry/_probe.py
+++ b/src/finchway/entry/_probe.py
@@ -1,8 +1,8 @@
-"""What an entry learns besides its own requests: upstreams' load and health, the platform's list.
+"""Health probes of upstreams, and polling of the platform's instance list.
 
-Each upstream is asked by a few watchers, picked by hashing from the entries that share it; what
-they learn reaches the others through the leader. An entry also asks upstreams of its own that
-have said nothing lately, and all of its own while the leader does not answer it.
+Each upstream is probed by a few entries, chosen by rendezvous hashing from those that share it;
+the leader distributes their results to the others. An entry also probes upstreams whose slots it
+holds if their last report is stale, and all of them while the leader does not respond.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 
 
 class Health(Struct, frozen=True, kw_only=True):
-    """An upstream's answer to `GET /finchway/health`.
+    """The response body of `GET /finchway/health`.
 
-    `load` is busy slots and waiting requests over slots; `leaving` asks for no new work;
-    `incarnation` names this life of the upstream.
+    `load` is the number of busy slots and queued requests divided by the number of slots.
+    `leaving` requests no new work.
     """
 
     load: float | None = None
@@ -47,7 +47,7 @@
 
 
 class Prober:
-    """Asks quiet upstreams for their health and the platform for its list."""
+    """Probes upstreams and polls the platform's instance list."""
 
     def __init__(
         self,
@@ -84,11 +84,11 @@
             await trio.sleep(PROBE_INTERVAL_S)
 
     def _accepting_upstreams(self) -> set[str]:
-        """Return the upstreams that may still get new work."""
+        """Return the upstreams that may receive new requests."""
         return {s.address for s in self._view.directory if not (s.leaving or s.drained)}
 
     def _due(self) -> list[str]:
-        """Return the upstreams to ask now."""
+        """Return the upstreams that are due for a probe."""
         now = trio.current_time()
         targets = self._view.probe_targets(PROBERS_PER_UPSTREAM, self._instance)
         own = self._view.own_upstreams(now)
@@ -119,7 +119,7 @@
         self._reopen_region(address)
 
     def _reopen_region(self, address: str) -> None:
-        """Let a region that is down be tried again once one of its upstreams answers."""
+        """Reopen a region that is down after a successful probe of one of its upstreams."""
         key = self._view.pool_of(address)
         if key is not None and self._view.is_region_down(*key):
             basis = self._view.describe_region(key, trio.current_time())
@@ -152,7 +152,7 @@
                 self._platform_view.record(await source())
                 self._mark_leaving()
             except FinchwayError as error:
-                _LOG.debug("the platform's list: %s", error)
+                _LOG.debug("fetching the platform's instance list failed: %s", error)
             await trio.sleep(PLATFORM_INTERVAL_S)
 
     def _mark_leaving(self) -> None:
@@ -162,7 +162,7 @@
 
 
 def platform_source(address: str) -> Callable[[], Awaitable[PlatformList]]:
-    """Return a function that fetches the platform's list from `http://address/instances`."""
+    """Return a function that fetches the instance list from `http://address/instances`."""
 
     async def fetch() -> PlatformList:
         try:
--- a/src/finchway/entry/_relay.py
+++ b/src/finchway/entry/_relay.py
@@ -1,8 +1,8 @@
-"""Relays: in a large deployment, heartbeats reach the leader in batches through fellow entries.
+"""Heartbeat relays: in large deployments, entries send heartbeats to the leader in batches.
 
-Live entries of an availability zone are put in an order by hashing and cut into groups; the first
-of each group is its relay. The leader then answers batches, with changes for the first heartbeat
-of each, which is the relay's own; the relay adds the changes that its members lack from its own.
+The live entries of an availability zone are ordered by rendezvous hashing and split into groups;
+the first entry of each group is its relay. The leader's reply to a batch has changes only for the
+first heartbeat, which is the relay's; the relay adds those that the other members lack.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 
 def is_relay(store: ResourceStore, instance: str, zone: str, threshold: int) -> bool:
-    """Tell whether relays are used and this entry is one."""
+    """Return whether relays are in use and this entry is one."""
     live = [i for i in store.of_kind("instance") if i.spec.state is InstanceState.LIVE]
     known = any(i.name == instance for i in live)
     return known and len(live) > threshold and relay_of(store, instance, zone, threshold) is None
 
 
 def relay_of(store: ResourceStore, instance: str, zone: str, threshold: int) -> str | None:
-    """Return the peer address of an entry's relay; None if it talks to control itself.
+    """Return the peer address of an entry's relay; None if it contacts control directly.
 
-    Relays are used only when more than `above` entries are live.
+    Relays are used only if more than `threshold` entries are live.
     """
     live = [i for i in store.of_kind("instance") if i.spec.state is InstanceState.LIVE]
     if len(live) <= threshold:
@@ -46,7 +46,7 @@
 
 
 class _Pending(Struct, eq=False):
-    """A member's heartbeat that waits for its batch."""
+    """A group member's heartbeat that is waiting for the reply to its batch."""
 
     heartbeat: Heartbeat
     event: trio.Event
@@ -57,7 +57,7 @@
 
 
 class HeartbeatBatcher:
-    """Gathers the heartbeats of a group and sends them on together."""
+    """Collects the heartbeats of a group and sends them in batches."""
 
     def __init__(self, instance: str, send_batch: SendBatch) -> None:
         self._instance = instance
@@ -68,21 +68,21 @@
 
     @property
     def batches(self) -> int:
-        """How many batches have been sent."""
+        """The number of batches sent."""
         return self._batches
 
     async def submit(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """Send a member's heartbeat with the next batch; raises `TransportError` if it is lost."""
+        """Send a heartbeat in the next batch; raise `TransportError` if there is no reply."""
         pending = _Pending(heartbeat, trio.Event())
         self._pending.append(pending)
         self._wake.set()
         await pending.event.wait()
         if pending.reply is None:
-            raise TransportError("control did not answer the batch")
+            raise TransportError("control did not reply to the heartbeat batch")
         return pending.reply
 
     async def run(self) -> None:
-        """Send batches until cancelled; each waits a moment for more members."""
+        """Send batches until cancelled; each is delayed to collect more heartbeats."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wake.wait()
@@ -95,8 +95,8 @@
     async def _send(self, batch: list[_Pending]) -> None:
         self._batches += 1
         batch.sort(key=lambda pending: pending.heartbeat.instance != self._instance)
-        answer = await self._send_batch(HeartbeatBatch(heartbeats=[p.heartbeat for p in batch]))
-        replies = answer.replies if answer is not None else [None] * len(batch)
+        response = await self._send_batch(HeartbeatBatch(heartbeats=[p.heartbeat for p in batch]))
+        replies = response.replies if response is not None else [None] * len(batch)
         for pending, reply in zip(batch, replies, strict=True):
             pending.reply = reply
             pending.event.set()
--- a/src/finchway/entry/_role.py
+++ b/src/finchway/entry/_role.py
@@ -1,4 +1,4 @@
-"""The entry role of one process: wiring, figures and the planned stop."""
+"""The entry role of a process: composition, metrics and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from finchway.policy import Holder, LoanTiming
 from finchway.transport import Link
 
-# Seconds that an entry goes on serving beyond the time to live of steering answers, for those that
-# were on their way when it was withdrawn.
+# Time for which a leaving entry serves beyond the time to live of steering answers, for answers
+# that were in transit when it was withdrawn.
 STEER_GRACE_S = 1.0
 
 
 class EntryRole:
-    """Serves callers by steering answers and slots, and leaves without cutting off a request."""
+    """Runs the components of an entry, and shuts down without interrupting requests."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._claims: ClaimDesk | None = None
 
     async def run(self) -> None:
-        """Run the entry's loops until cancelled."""
+        """Run the entry's background tasks until cancelled."""
         settings = self._settings
         platform = settings.platform_address
         source = platform_source(platform) if platform else None
@@ -107,18 +107,19 @@
             self.started.set()
 
     async def leave(self, limit_s: float, stop_server: Callable[[], Awaitable[None]]) -> None:
-        """Withdraw from steering answers, wait out cached ones, and finish what is in flight.
+        """Shut down gracefully within `limit_s`.
 
-        `stop_server` ends the connections of callers, and returns once the last is answered.
+        Withdraws from steering answers, waits until cached ones have expired and completes
+        in-flight requests. `stop_server` closes the callers' connections once they are served.
         """
         self.session.start_leaving()
         with trio.move_on_after(limit_s):
             await self.session.beat()
-            longest = max(
+            max_ttl_s = max(
                 (s.spec.steer_ttl_ms / 1000 for s in self._view.store.of_kind("service")),
                 default=0.0,
             )
-            await trio.sleep(longest + STEER_GRACE_S)
+            await trio.sleep(max_ttl_s + STEER_GRACE_S)
             await stop_server()
             while self.app.concurrent_requests or self._claims.unsettled:
                 await trio.sleep(0.05)
--- a/src/finchway/entry/_session.py
+++ b/src/finchway/entry/_session.py
@@ -1,9 +1,9 @@
-"""An entry's conversation with control: heartbeats out, configuration, lease and loans in.
+"""An entry's session with control: sends heartbeats, receives configuration, lease and loans.
 
-Heartbeats go to the leader. When no control process answers, they go through a fellow entry that
-still reaches it; when no fellow is confirmed either, the fellows' newer changes are still taken
-over. An entry that reaches neither control nor any fellow is isolated, and stops taking new work:
-it could not know of a drain, a cap or a claim.
+Heartbeats go to the leader. If no control process responds, they are sent through a peer entry
+that still reaches the leader. If no peer does, the entry fetches newer changes from its peers
+without a confirmation. An entry that reaches neither control nor any peer is isolated and refuses
+requests, because it cannot learn of drains, caps or claims.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class EntryIdentity(Struct, frozen=True):
-    """Who an entry is: its name, this life of it, its addresses and availability zone."""
+    """An entry's name, incarnation, addresses and availability zone."""
 
     instance: str
     incarnation: str
@@ -48,12 +48,12 @@
 
     @property
     def holder(self) -> str:
-        """The identity under which this life claims keys and borrows slots."""
+        """The identity under which this incarnation claims keys and borrows slots."""
         return f"{self.instance}@{self.incarnation}"
 
 
 class ControlSession:
-    """Keeps one entry in touch with control."""
+    """Exchanges heartbeats and changes between one entry and control."""
 
     def __init__(
         self,
@@ -95,37 +95,37 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether a quorum-confirmed configuration has been taken over since the start."""
+        """Whether a configuration confirmed by a quorum has been applied since the start."""
         return self._is_confirmed
 
     @property
     def has_lease(self) -> bool:
-        """Whether the leader has confirmed this entry's revision a moment ago."""
+        """Whether this entry holds a lease: the leader has recently confirmed its revision."""
         return trio.current_time() < self._lease_until
 
     @property
     def is_in_touch(self) -> bool:
-        """Whether the leader answered a moment ago, so that news from others arrives."""
+        """Whether the leader responded recently, so that changes and limits still arrive."""
         return trio.current_time() - self._last_reply_at < REPLY_FRESH_S
 
     @property
     def is_isolated(self) -> bool:
-        """Whether neither control nor any fellow has answered for too long."""
+        """Whether neither control nor any peer has responded within the isolation timeout."""
         if self._isolated_after <= 0 or self.has_lease or not self._view.live_peers():
             return False
         return trio.current_time() - self._last_contact_at > self._isolated_after
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this entry has begun its planned stop."""
+        """Whether this entry is shutting down gracefully."""
         return self._is_leaving
 
     def start_leaving(self) -> None:
-        """Tell the leader from now on that this entry is leaving."""
+        """Report this entry as leaving in all further heartbeats."""
         self._is_leaving = True
 
     async def run(self) -> None:
-        """Send heartbeats until cancelled, and those of fellows that this entry relays for."""
+        """Send heartbeats, and relay those of group members, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._batcher.run)
             await self._send_heartbeats()
@@ -139,7 +139,7 @@
             await trio.sleep(max(0.01, left))
 
     async def beat(self, stopped: bool = False) -> bool:
-        """Send one heartbeat and apply its answer; False if nobody confirmed it."""
+        """Send one heartbeat and apply the reply; return False if there was none."""
         heartbeat = self._heartbeat(stopped)
         sent_at = trio.current_time()
         reply = None if stopped else await self._send_via_relay(heartbeat)
@@ -155,7 +155,7 @@
         return True
 
     async def submit(self, command: AnyCommand, timeout: float) -> AnyResult:
-        """Have a command committed; raises `FinchwayError` if that is not confirmed in time."""
+        """Submit a command to the leader; raise `FinchwayError` if it is not committed in time."""
         deadline = trio.current_time() + timeout
         while True:
             left = deadline - trio.current_time()
@@ -171,16 +171,16 @@
                 await trio.sleep(0.02)
 
     async def handle(self, body: AnyBody, sender: str) -> AnyBody | None:
-        """Answer a fellow entry: pass its heartbeat on, or give it the changes that it lacks."""
+        """Handle a peer entry's message: relay its heartbeat, or return changes that it lacks."""
         match body:
             case Heartbeat() if self._can_relay():
                 return self._add_changes(body, await self._batcher.submit(body))
             case FetchChanges(since=since):
                 return self._changes_since(since)
-        raise FinchwayError(f"this entry cannot answer {type(body).__name__} now")
+        raise FinchwayError(f"this entry cannot handle {type(body).__name__} now")
 
     def _can_relay(self) -> bool:
-        """Tell whether control answered this entry itself just now, not through a fellow."""
+        """Return whether control recently replied to this entry directly."""
         return trio.current_time() - self._last_direct_reply_at < 2 * self._timing.interval + 0.5
 
     def _heartbeat(self, stopped: bool) -> Heartbeat:
@@ -210,7 +210,7 @@
         )
 
     async def _send_via_relay(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
-        """Ask this entry's relay, if it has one that has not failed it lately."""
+        """Send a heartbeat through this entry's relay; None if there is none or it has failed."""
         if trio.current_time() < self._relay_retry_at:
             return None
         identity = self._identity
@@ -225,7 +225,7 @@
             return None
 
     async def _send_as_relay(self, heartbeat: Heartbeat) -> HeartbeatReply | None:
-        """Send the own heartbeat with those of the group, if this entry is a relay."""
+        """Send this entry's heartbeat in its group's batch, if it is a relay."""
         identity = self._identity
         if not is_relay(self._view.store, identity.instance, identity.zone, self._relay_above):
             return None
@@ -237,10 +237,13 @@
         return reply
 
     def _add_changes(self, heartbeat: Heartbeat, reply: HeartbeatReply) -> HeartbeatReply:
-        """Add to an answer of the leader the changes that the member lacks and this entry has."""
-        own = self._changes_since(heartbeat.revision)
+        """Add the changes that a group member lacks to the leader's reply."""
+        missing = self._changes_since(heartbeat.revision)
         return msgspec.structs.replace(
-            reply, changes=own.changes, snapshot=own.snapshot, snapshot_revision=own.revision
+            reply,
+            changes=missing.changes,
+            snapshot=missing.snapshot,
+            snapshot_revision=missing.revision,
         )
 
     async def _send_to_control(self, body: Heartbeat | HeartbeatBatch) -> AnyBody | None:
@@ -277,7 +280,7 @@
         return None
 
     async def _fetch_changes(self, peer: str) -> None:
-        """Take over a fellow's newer changes, though nobody confirms them at the moment."""
+        """Apply newer changes of a peer; they do not renew the lease."""
         try:
             request = FetchChanges(since=self._view.revision)
             reply = await self._link.request(peer, request, RELAY_TIMEOUT_S)
@@ -313,9 +316,9 @@
             self._record_revision()
 
     def _apply_changes(self, changes: list[Change]) -> None:
-        held = self._view.revision
+        previous = self._view.revision
         if self._view.apply(changes, trio.current_time()):
-            self._recent_changes += [change for change in changes if change.revision > held]
+            self._recent_changes += [change for change in changes if change.revision > previous]
             del self._recent_changes[:-MAX_RECENT_CHANGES]
             self._record_revision()
 
--- a/src/finchway/entry/_upstream.py
+++ b/src/finchway/entry/_upstream.py
@@ -1,9 +1,8 @@
-"""Requests to upstreams over kept httpcore connections.
+"""HTTP client for upstreams with persistent httpcore connections.
 
-Each upstream has a list of idle connections; httpcore's own pool looks through all connections
-for every request, which cost a seventh of an entry's time. A connection whose answer was not read
-to its end is never used again: httpcore closes it. An
-upstream's answer must say where it ends, by its length or by chunks, so that a cut is seen.
+Idle connections are kept in a list per upstream, because httpcore's own pool scans all connections
+for every request. httpcore closes a connection whose response was not read to its end. Responses
+need a Content-Length or chunked encoding, so that a truncated response is detected.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 class Reply:
-    """An upstream's answer whose body is still to be read."""
+    """An upstream's response with an unread body."""
 
     __slots__ = ("_response", "facts", "headers", "status")
 
@@ -39,44 +38,41 @@
         self.facts = read_facts(response.status, response.headers)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raises `UpstreamError` if it ends early."""
+        """Yield the body; raise `UpstreamError` if it is truncated."""
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
         except (httpcore.ProtocolError, httpcore.NetworkError, httpcore.TimeoutException) as error:
-            detail = f"the answer broke off: {error}"
+            detail = f"the response was truncated: {error}"
             raise UpstreamError(Outcome.UNKNOWN, detail) from error
 
 
 class _SendNotAllowedError(httpcore.ConnectError):
-    """The upstream asked for less while a connection to it came up."""
+    """The request may no longer be sent although the connection was established."""
 
 
 class _CheckingBackend(httpcore.AsyncNetworkBackend):
-    """Opens connections, and closes those whose upstream has asked for less meanwhile.
-
-    `still_wants` is asked once more when a connection is up.
-    """
+    """Network backend that closes a new connection if `may_send` returns false."""
 
     def __init__(self, may_send: Callable[[], bool]) -> None:
         self._backend = httpcore.TrioBackend()
         self._may_send = may_send
 
     async def connect_tcp(self, host, port, **options) -> httpcore.AsyncNetworkStream:
-        """Connect to an upstream."""
+        """Connect to an upstream; raise an error if the request may no longer be sent."""
         stream = await self._backend.connect_tcp(host, port, **options)
         if self._may_send():
             return stream
         await stream.aclose()
-        raise _SendNotAllowedError("it has asked for less meanwhile")
+        raise _SendNotAllowedError("asked for backoff or named a limit while connecting")
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep between two tries."""
+        """Sleep between connection attempts."""
         await self._backend.sleep(seconds)
 
 
 class UpstreamClient:
-    """Sends requests to upstreams; keeps idle connections to each."""
+    """Sends requests to upstreams and reuses their idle connections."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[httpcore.AsyncHTTPConnection]] = {}
@@ -91,11 +87,11 @@
         body: AsyncIterator[bytes] | bytes,
         may_send: Callable[[], bool] = lambda: True,
     ) -> AsyncIterator[Reply]:
-        """Send a request and yield the answer once its head has come.
+        """Send a request and yield the response once its headers have arrived.
 
-        While a new connection came up, the upstream may have asked for rest, or named a limit:
-        `still_wants` tells then whether the request may go out. Raises `UpstreamError`: `not-run`
-        if no connection was made or wanted, `unknown` after that.
+        `may_send` is called after a new connection is established: by then the upstream may have
+        requested a backoff or named a rate limit. Raises `UpstreamError`, with the outcome
+        `not-run` if no connection was made or `may_send` returned false, else `unknown`.
         """
         connection, origin = await self._acquire(address, may_send)
         url = httpcore.URL(
@@ -117,7 +113,7 @@
             detail = f"no connection to {address}: {error}"
             raise UpstreamError(Outcome.NOT_RUN, detail, was_sent=False) from error
         except (httpcore.ProtocolError, httpcore.NetworkError, httpcore.TimeoutException) as error:
-            detail = f"{address} broke off before it answered: {error}"
+            detail = f"{address} failed before responding: {error}"
             raise UpstreamError(Outcome.UNKNOWN, detail) from error
         try:
             _check_length(address, method, response)
@@ -128,7 +124,7 @@
                 await self._release(address, connection)
 
     async def close_idle(self, address: str) -> None:
-        """Close the idle connections to an upstream that receives nothing new."""
+        """Close the idle connections to an upstream."""
         for connection in self._idle.pop(address, []):
             await connection.aclose()
 
@@ -140,7 +136,7 @@
     async def _acquire(
         self, address: str, may_send: Callable[[], bool]
     ) -> tuple[httpcore.AsyncHTTPConnection, httpcore.Origin]:
-        """Return an idle connection that still stands, the latest used first, or a new one."""
+        """Return the most recently used idle connection that is usable, or a new one."""
         host, _, port = address.rpartition(":")
         origin = httpcore.Origin(b"http", host.strip("[]").encode(), int(port))
         idle = self._idle.get(address, [])
@@ -163,7 +159,7 @@
 
 
 def read_facts(status: int, headers: Headers) -> Facts:
-    """Read what an upstream says of itself, and asks for, in the head of an answer."""
+    """Read the finchway headers and the pushback from an upstream's response headers."""
     incarnation, load, not_run = "", None, False
     lowered = [(name.lower(), value) for name, value in headers]
     for name, value in lowered:
--- a/src/finchway/entry/_view.py
+++ b/src/finchway/entry/_view.py
@@ -1,6 +1,6 @@
-"""An entry's view of the configuration, and the policy objects that follow it.
+"""An entry's copy of the configuration, and the policy objects derived from it.
 
-Changes are applied in order and an older revision is never applied over a newer one.
+Changes are applied in order; an older revision is never applied over a newer one.
 """
 
 from __future__ import annotations
@@ -40,15 +40,15 @@
     Service,
 )
 
-# Seconds between two trials of a region whose requests run at most once: one that fails may leave
-# its caller not knowing whether the request ran.
+# Minimum interval between trial requests to a region that is down, for at-most-once services: a
+# failed trial may leave the outcome of its request unknown.
 ONCE_ONLY_TRIAL_INTERVAL_S = 0.1
 
 
 class EntryView:
-    """What one entry knows and decides with; it does no I/O and reads no clock.
+    """The state that one entry's decisions depend on; does no I/O and reads no clock.
 
-    `holder` and `directory` can be given to measure other ways to share and to choose.
+    `holder` and `directory` can be replaced to evaluate other policies.
     """
 
     def __init__(
@@ -102,12 +102,12 @@
 
     @property
     def holder(self) -> Holder:
-        """The entry's floors and loans."""
+        """The slots that this entry owns or has borrowed."""
         return self._holder
 
     @property
     def directory(self) -> Directory:
-        """What is known of the upstreams."""
+        """The state of each upstream."""
         return self._directory
 
     @property
@@ -117,11 +117,11 @@
 
     @property
     def is_drained(self) -> bool:
-        """Whether an operator's drain covers this instance."""
+        """Whether a drain applies to this instance."""
         return self._instance_drained
 
     def service(self, name: str) -> Service | None:
-        """Return the spec of a service."""
+        """Return the spec of a service; None if it does not exist."""
         resource = self._store.get("service", name)
         return resource.spec if resource else None
 
@@ -130,12 +130,12 @@
         return self._organisations.get(credential_digest)
 
     def contract(self, organisation: str, service: str) -> Contract | None:
-        """Return what an organisation pays for at a service."""
+        """Return an organisation's contract for a service; None if there is none."""
         resource = self._store.get("organisation", organisation)
         return resource.spec.contracts.get(service) if resource else None
 
     def pool_of(self, address: str) -> tuple[str, str] | None:
-        """Return the service and region that an upstream serves."""
+        """Return the service and region of an upstream's pool."""
         return self._pool_of.get(address)
 
     def live_peers(self) -> dict[str, str]:
@@ -147,14 +147,14 @@
         }
 
     def apply(self, changes: list[Change], now: float) -> bool:
-        """Apply deltas that follow the present revision; False if there is nothing new."""
+        """Apply changes that follow the current revision; return False if none is new."""
         applied = [change for change in changes if self._store.apply(change)]
         if applied:
             self._rebuild(now)
         return bool(applied)
 
     def install(self, state: list[Change], revision: int, now: float) -> bool:
-        """Take over a whole state; False if it is not newer than the present one."""
+        """Replace the state by a snapshot; return False if it is not newer."""
         if revision <= self._store.revision:
             return False
         self._store = ResourceStore([change.resource() for change in state], revision)
@@ -162,7 +162,7 @@
         return True
 
     def rank_of(self, organisation: str, service: str, contract: Contract, now: float) -> int:
-        """Return the rank of a request; beyond the paid rate it goes after all others."""
+        """Return the rank of a request; requests over the paid rate get the lowest one."""
         key = (organisation, service)
         self._windows.setdefault(key, RateWindow()).record(now)
         paid = self._rates.get(key)
@@ -173,7 +173,7 @@
         return rank if paid.take(now) else DEMOTED_RANK
 
     def set_rates(self, rates: dict[str, float]) -> None:
-        """Take over the parts of the paid rates that the leader has given to this entry."""
+        """Set this entry's parts of the paid rates, as allotted by the leader."""
         for name, rate in rates.items():
             organisation, _, service = name.partition("/")
             paid = self._rates.get((organisation, service))
@@ -181,7 +181,7 @@
                 paid.rate = rate
 
     def active_rates(self, now: float) -> list[tuple[str, str, float]]:
-        """Return (organisation, service, requests/s) for all that are in use."""
+        """Return (organisation, service, requests/s) for all non-zero rates."""
         rates = [(o, s, window.rate(now)) for (o, s), window in self._windows.items()]
         return [entry for entry in rates if entry[2] > 0]
 
@@ -190,10 +190,11 @@
     ) -> RegionChoice:
         """Return the regions that may serve a request, in order of preference.
 
-        The nearest other region that is up follows the assigned one, for callers within the open
-        part of the cap. While the assigned region is down those callers go to the other region. Of
-        the rest a few try it, so that it opens as soon as it serves again; the others are refused.
-        Health answers open it as well.
+        The assigned region is followed by the nearest other region that is up, for callers within
+        the part of the cap that the failover ramp has opened. While the assigned region is down,
+        those callers go to the other region. A few of the remaining callers are sent to the
+        assigned region as trials, to detect its recovery early; the others are refused. A
+        successful health probe also reopens it.
         """
         order = self._routes.candidates(service, home, caller)
         if not order:
@@ -215,7 +216,7 @@
         )
 
     def record_result(self, address: str, succeeded: bool, now: float) -> tuple[bool, bool]:
-        """Note how a request at an upstream ended; returns (ejected now, region state changed)."""
+        """Record a request's result; return (upstream was ejected, region state changed)."""
         key = self._pool_of.get(address)
         if key is None:
             return False, False
@@ -231,29 +232,29 @@
         return ejected, health.is_down != was_down
 
     def is_region_down(self, service: str, region: str) -> bool:
-        """Tell whether a region fails to serve a service, as this entry sees it."""
+        """Return whether this entry considers a region down for a service."""
         return self._is_down(service, region)
 
     def describe_region(self, key: tuple[str, str], now: float) -> str:
-        """Return what a region's state rests on: its failures, and when it was last heard."""
+        """Return the basis of a region's state: its failures and the age of the latest report."""
         addresses = self._addresses_in(key)
         health = self._health.get(key) or RegionHealth()
         states = [self._directory.get(address) for address in addresses]
-        heard = [state.report.at for state in states if state is not None and state.report]
-        age = f"{now - max(heard):.3f} s ago" if heard else "never"
+        report_times = [state.report.at for state in states if state is not None and state.report]
+        age = f"{now - max(report_times):.3f} s ago" if report_times else "never"
         return (
             f"{health.streak} failures in a row at {health.failed} of {len(addresses)} upstreams, "
             f"last heard {age}, revision {self.revision}"
         )
 
     def reopen(self, key: tuple[str, str]) -> None:
-        """Let requests try a region again that was down."""
+        """Mark a region that was down as available again."""
         health = self._health.get(key)
         if health is not None:
             health.reopen()
 
     def drain_reports(self) -> list[DrainReport]:
-        """Return what is in flight to each thing that a drain covers."""
+        """Return the number of in-flight requests covered by each drain."""
         reports = []
         for drain in self._store.of_kind("drain"):
             addresses = self._drains.get(drain.name, [])
@@ -265,12 +266,12 @@
         return reports
 
     def own_upstreams(self, now: float) -> set[str]:
-        """Return the upstreams that this entry may have requests in flight at."""
+        """Return the upstreams of which this entry owns or has borrowed slots."""
         keys = self.share_keys()
         return {address for key in keys for address in self._holder.limits(key, now)}
 
     def probe_targets(self, probers: int, instance: str) -> set[str]:
-        """Return the upstreams whose health this entry is to watch for all that share them."""
+        """Return the upstreams that this entry probes on behalf of all entries sharing them."""
         if self._probe_targets_revision != self.revision:
             self._probe_targets_revision = self.revision
             self._probe_targets = {
@@ -282,7 +283,7 @@
         return self._probe_targets
 
     def leaving_marks(self) -> list[UpstreamMark]:
-        """Return what the leader should know of upstreams that are leaving, or were."""
+        """Return marks for upstreams that are leaving, or have returned since, for the leader."""
         found = []
         for state in self._directory:
             held = self._store.get("leaving", state.address)
@@ -296,7 +297,7 @@
         return [(s.spec.service, s.spec.region) for s in self._store.of_kind("share")]
 
     def shrunk(self, now: float) -> dict[str, int]:
-        """Return the epoch of each unsettled share that this entry's work already fits."""
+        """Return the epochs of unsettled shares whose new slots cover all in-flight requests."""
         return {
             share.name: share.spec.epoch
             for share in self._store.of_kind("share")
@@ -305,7 +306,7 @@
         }
 
     def loads(self, now: float, fresh_s: float = 2.0) -> dict[str, float]:
-        """Return the mean reported load of each share's region, from fresh reports only."""
+        """Return the mean reported load by share, ignoring reports older than `fresh_s`."""
         sums: dict[str, list[float]] = {}
         for state in self._directory:
             key = self._pool_of.get(state.address)
@@ -316,7 +317,7 @@
     def _limit_part(self, address: str, limit: float) -> Part:
         """Return this entry's part of an upstream's limit.
 
-        Its holders are the first of those that its slots are dealt to, who own most of them.
+        The limit is divided among the leading members of the upstream's shares.
         """
         members: list[str] = []
         for share in self._shares_of(address):
@@ -338,7 +339,7 @@
         return bool(states) and all(s is None or s.leaving or s.drained for s in states)
 
     def _begin_region_trial(self, service: str, region: str, now: float) -> RegionChoice:
-        """Return a region that is down, if one more request may try it now."""
+        """Return a region that is down as the only candidate, if a trial may start now."""
         health = self._health.get((service, region))
         if health is None or not health.is_down:
             return RegionChoice()
@@ -348,7 +349,6 @@
         return RegionChoice((region,), trial) if trial is not None else RegionChoice()
 
     def _addresses_in(self, key: tuple[str, str]) -> list[str]:
-        """Return the upstreams of a service in a region."""
         return [address for address, owner in self._pool_of.items() if owner == key]
 
     def _advance_ramp(
@@ -366,7 +366,7 @@
         return ramp
 
     def _initial_rate(self, service: str, contract: Contract) -> float:
-        """Return this entry's part of a paid rate until the leader has said it."""
+        """Return this entry's part of a paid rate until the leader has allotted one."""
         spec = self.service(service)
         return contract.rate / max(1, spec.entries if spec else 1)
 
--- a/tests/entry/test_region_return.py
+++ b/tests/entry/test_region_recovery.py
@@ -1,8 +1,4 @@
-"""A region whose upstreams broke and work again serves at once; one that is dead holds few callers.
-
-The region counts as down after a run of failures. It may be the only one that there is, so nothing
-but its callers can find out early that it is back.
-"""
+"""Guards against regions that recover late, or delay many callers while they are down."""
 
 import pytest
 import trio
@@ -25,8 +21,8 @@
 TWO_REGIONS = Shape("two-regions", ("north", "south"), 0.0, 10.0, 0.0, SERVICES)
 
 
-def play(action, shape: Shape = ONE_REGION, seed: int = 1) -> World:
-    """Run an action in a small world with two entries."""
+def run_world(action, shape: Shape = ONE_REGION, seed: int = 1) -> World:
+    """Run an action in a simulated deployment with two entries."""
     world: list[World] = []
 
     async def run() -> None:
@@ -38,11 +34,11 @@
     return world[0]
 
 
-def set_broken(world: World, is_broken: bool, region: str = "north") -> None:
-    """Have each answer of a region break off, or none."""
+def set_truncating(world: World, is_truncating: bool, region: str = "north") -> None:
+    """Truncate all responses of a region's upstreams, or none."""
     for upstream in world.upstreams.values():
         if upstream.region == region:
-            upstream.cut_every = int(is_broken)
+            upstream.cut_every = int(is_truncating)
 
 
 async def call(world: World, service: str = "bays", number: int = 0) -> Got:
@@ -50,15 +46,15 @@
     return await world.call(service, "gold", "north", "e1", key, number)
 
 
-async def fail(world: World, service: str = "bays") -> None:
-    """Let requests fail until the entry takes the region for down."""
-    set_broken(world, True)
+async def take_region_down(world: World, service: str = "bays") -> None:
+    """Send failing requests until the entry considers the region down."""
+    set_truncating(world, True)
     while not world.entries["e1"].view.is_region_down(service, "north"):
         await call(world, service)
 
 
-async def ask(world: World, rate: float, seconds: float, service: str = "bays") -> None:
-    """Send requests at a steady rate, each without waiting for the last."""
+async def send_at_rate(world: World, rate: float, seconds: float, service: str = "bays") -> None:
+    """Send requests at a fixed rate without waiting for responses."""
     async with trio.open_nursery() as nursery:
         for number in range(int(rate * seconds)):
             nursery.start_soon(call, world, service, number)
@@ -71,52 +67,52 @@
 
 @pytest.mark.parametrize("service", ["bays", "reservations"])
 @pytest.mark.parametrize("seed", range(5))
-def test_callers_one_after_the_other_are_served_as_soon_as_upstreams_work_again(service, seed):
-    """All upstreams break and work again. A caller that comes then is served, not told to wait."""
+def test_sequential_requests_are_served_as_soon_as_upstreams_recover(service, seed):
+    """Guards against refusals after all upstreams of a region failed and recovered."""
     answers: list[Got] = []
 
     async def action(world: World) -> None:
-        await fail(world, service)
-        set_broken(world, False)
+        await take_region_down(world, service)
+        set_truncating(world, False)
         await trio.sleep(0.1)
         for _ in range(50):
             answers.append(await call(world, service))
 
-    play(action, seed=seed)
+    run_world(action, seed=seed)
     assert [got.status for got in answers] == [200] * 50
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_many_callers_are_served_once_the_first_of_them_was(seed):
-    """Only those that come while the first request after the return is under way are refused."""
-    back: list[float] = []
+def test_concurrent_requests_are_served_once_a_trial_succeeded(seed):
+    """Only requests that arrive during the first trial after the recovery are refused."""
+    recovered_at: list[float] = []
 
     async def action(world: World) -> None:
-        await fail(world)
-        set_broken(world, False)
-        back.append(trio.current_time())
-        await ask(world, 200, 1.0)
+        await take_region_down(world)
+        set_truncating(world, False)
+        recovered_at.append(trio.current_time())
+        await send_at_rate(world, 200, 1.0)
 
-    world = play(action, seed=seed)
-    late = [got.started - back[0] for got in refused(world, back[0])]
+    world = run_world(action, seed=seed)
+    late = [got.started - recovered_at[0] for got in refused(world, recovered_at[0])]
     assert max(late, default=0.0) < 10 * SERVICE_MS / 1000
-    assert sum(got.status == 200 for got in world.got if got.started >= back[0]) >= 150
+    assert sum(got.status == 200 for got in world.got if got.started >= recovered_at[0]) >= 150
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_region_that_answers_nothing_holds_one_caller_for_each_upstream(seed):
-    """Whoever cannot be served is refused at once; only a few try the region meanwhile."""
+def test_an_unresponsive_region_delays_at_most_one_caller_per_upstream(seed):
+    """Other callers are refused immediately while the region is down."""
     down: list[float] = []
 
     async def action(world: World) -> None:
         for upstream in world.upstreams.values():
             upstream.silent = True
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask, world, 100, 3 * DEADLINE_S)
+            nursery.start_soon(send_at_rate, world, 100, 3 * DEADLINE_S)
             await trio.sleep(DEADLINE_S + 0.5)
             down.append(trio.current_time())
 
-    world = play(action, seed=seed)
+    world = run_world(action, seed=seed)
     calls = [got for got in world.got if got.started >= down[0]]
     held = [got for got in calls if got.latency_s > 0.01]
     for got in held:
@@ -127,17 +123,17 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_few_requests_that_run_once_are_left_in_doubt_by_a_region_that_breaks_them_off(seed):
-    """A failed try of such a request leaves its key in doubt, so few of them try the region."""
+def test_trials_of_a_failing_region_leave_few_once_only_requests_unknown(seed):
+    """A failed trial leaves the outcome of its key unknown, so trials are rate-limited."""
     down: list[float] = []
 
     async def action(world: World) -> None:
-        await fail(world, "reservations")
+        await take_region_down(world, "reservations")
         down.append(trio.current_time())
         with trio.move_on_after(2.0):
-            await ask(world, 50, 3.0, "reservations")
+            await send_at_rate(world, 50, 3.0, "reservations")
 
-    world = play(action, seed=seed)
+    world = run_world(action, seed=seed)
     calls = [got for got in world.got if got.started >= down[0]]
     in_doubt = [got for got in calls if got.outcome == Outcome.UNKNOWN.value]
     assert len(calls) > 80
@@ -145,14 +141,14 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_refusal_after_an_attempt_that_may_have_run_has_no_status_that_says_otherwise(seed):
-    """The first attempt breaks off, its repeat is refused: 503 would say that nothing has run."""
+def test_a_refusal_after_an_attempt_that_may_have_run_is_not_a_503(seed):
+    """A 503 would state that nothing has run although the first attempt may have."""
 
     async def action(world: World) -> None:
-        set_broken(world, True)
-        await ask(world, 100, 1.0)
+        set_truncating(world, True)
+        await send_at_rate(world, 100, 1.0)
 
-    world = play(action, seed=seed)
+    world = run_world(action, seed=seed)
     unknown = [got for got in world.got if got.outcome == Outcome.UNKNOWN.value]
     assert unknown
     assert {got.status for got in unknown} <= {502, 504}
@@ -160,34 +156,37 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_region_is_tried_by_those_that_no_other_region_takes(seed):
-    """Another region takes a part of the callers only; the rest are served once theirs is back."""
-    back: list[float] = []
+def test_callers_without_failover_detect_the_recovery_of_their_region(seed):
+    """Failover takes only some callers; the others are served once their region recovers."""
+    recovered_at: list[float] = []
 
     async def action(world: World) -> None:
-        await fail(world)
-        await ask(world, 100, 0.3)
-        set_broken(world, False)
-        back.append(trio.current_time())
-        await ask(world, 100, 0.3)
+        await take_region_down(world)
+        await send_at_rate(world, 100, 0.3)
+        set_truncating(world, False)
+        recovered_at.append(trio.current_time())
+        await send_at_rate(world, 100, 0.3)
 
-    world = play(action, TWO_REGIONS, seed)
-    assert max((got.started - back[0] for got in refused(world, back[0])), default=0.0) < 0.1
+    world = run_world(action, TWO_REGIONS, seed)
+    assert (
+        max((got.started - recovered_at[0] for got in refused(world, recovered_at[0])), default=0.0)
+        < 0.1
+    )
 
 
-def test_the_time_line_says_why_a_region_went_down_and_came_back():
-    """Its events name the last failure, the run of failures, and how old what was heard is."""
+def test_events_state_why_a_region_went_down_and_came_up():
+    """They have the last failure, the number of failures and the age of the latest report."""
     found: list[Event] = []
 
     async def action(world: World) -> None:
-        await fail(world)
-        set_broken(world, False)
+        await take_region_down(world)
+        set_truncating(world, False)
         await call(world)
         kinds = (EventKind.REGION_DOWN, EventKind.REGION_UP)
         timeline = world.entries["e1"].timeline
         found.extend(event for event in timeline.since(0, 5_000) if event.kind in kinds)
 
-    play(action)
+    run_world(action)
     down, up = found
     assert (down.subject, up.subject) == ("bays/north", "bays/north")
     assert "cut its answer; 5 failures in a row at " in down.detail
--- a/tests/entry/test_hasty_callers.py
+++ b/tests/entry/test_tight_deadlines.py
@@ -1,8 +1,4 @@
-"""Callers in a hurry say nothing of upstreams; those that give them enough time do.
-
-A caller that gives an upstream less time than it usually takes gets no answer, however well the
-upstream is. Counted as failures, a few such callers have upstreams ejected for everybody.
-"""
+"""Guards against ejecting healthy upstreams because of timeouts with tight deadlines."""
 
 import msgspec
 import pytest
@@ -14,12 +10,14 @@
 from finchway.entry import CallError
 from finchway.observe import EventKind
 
-USUAL_S = 0.1
-SHAPE = Shape("one-region", ("north",), 0.0, 0.0, 0.0, (ServiceShape("bays", 4, 1000 * USUAL_S),))
+SERVICE_TIME_S = 0.1
+SHAPE = Shape(
+    "one-region", ("north",), 0.0, 0.0, 0.0, (ServiceShape("bays", 4, 1000 * SERVICE_TIME_S),)
+)
 
 
-async def call_within(world: World, seconds: float, number: int) -> bool:
-    """Call with a deadline; tells whether an answer came."""
+async def call_with_timeout(world: World, seconds: float, number: int) -> bool:
+    """Send a request with a deadline; return whether a response arrived."""
     entry = world.entries["e1"]
     made = world._make_call(entry, "bays", "gold", "10.0.0.1", f"hasty{number}", "")
     made = msgspec.structs.replace(made, deadline=trio.current_time() + seconds)
@@ -35,8 +33,8 @@
     return bool(answers)
 
 
-def play(action, seed: int) -> list[EventKind]:
-    """Play an action once usual times are known; returns what was said of upstreams and regions."""
+def run_action(action, seed: int) -> list[EventKind]:
+    """Run an action once the mean service time is known; return the events that it caused."""
     found: list[EventKind] = []
 
     async def run() -> None:
@@ -53,27 +51,27 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_callers_in_a_hurry_have_no_upstream_ejected_and_no_region_closed(seed):
+def test_tight_deadlines_neither_eject_upstreams_nor_take_a_region_down(seed):
     served: list[bool] = []
 
     async def action(world: World) -> None:
         for number in range(100):
-            await call_within(world, USUAL_S / 20, number)
+            await call_with_timeout(world, SERVICE_TIME_S / 20, number)
             if number % 10 == 0:
-                served.append(await call_within(world, 20 * USUAL_S, 1_000 + number))
+                served.append(await call_with_timeout(world, 20 * SERVICE_TIME_S, 1_000 + number))
 
-    events = play(action, seed)
+    events = run_action(action, seed)
     assert EventKind.UPSTREAM_EJECTED not in events and EventKind.REGION_DOWN not in events
     assert served == [True] * 10
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_upstreams_that_do_not_answer_in_ample_time_are_ejected(seed):
+def test_upstreams_that_time_out_with_ample_deadlines_are_ejected(seed):
     async def action(world: World) -> None:
         for upstream in world.upstreams.values():
             upstream.silent = True
         for number in range(20):
-            await call_within(world, 5 * USUAL_S, number)
+            await call_with_timeout(world, 5 * SERVICE_TIME_S, number)
 
-    events = play(action, seed)
+    events = run_action(action, seed)
     assert EventKind.UPSTREAM_EJECTED in events and EventKind.REGION_DOWN in events
--- a/tests/process/test_entry.py
+++ b/tests/process/test_entry.py
@@ -1,4 +1,4 @@
-"""Entries as callers see them: every outcome and error brought about with real processes."""
+"""Outcomes and errors of entries as seen by callers, with real processes."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 @pytest.fixture(autouse=True)
-def normal(deployment):
+def reset_modes(deployment):
     yield
     for service in ("bays", "reservations", "uploads"):
         set_modes(deployment, service, mode="normal")
@@ -61,7 +61,7 @@
     return decoded
 
 
-def test_an_answer_says_who_served_it(deployment, caller):
+def test_response_headers_name_outcome_region_upstream_and_revision(deployment, caller):
     response = caller.call("e1", "bays")
     assert response.status == 200
     assert header(response, "finchway-outcome") == "ran"
@@ -70,7 +70,7 @@
     assert int(header(response, "finchway-revision")) > 0
 
 
-def test_steering_names_live_entries_and_may_be_kept(deployment):
+def test_steering_lists_live_entries_and_is_cacheable(deployment):
     address = deployment.entry["e1"]
     response = httpcore.request("GET", f"http://{address}/steer/bays?client=10.0.1.7")
     answer = msgspec.json.decode(response.content)
@@ -91,7 +91,7 @@
         ("uploads", {}, b"x" * 17_000_000, 413, "too-large"),
     ],
 )
-def test_what_cannot_be_served_is_refused_as_not_run(caller, service, headers, body, status, kind):
+def test_invalid_requests_are_refused_as_not_run(caller, service, headers, body, status, kind):
     response = caller.call("e1", service, body, headers)
     assert (response.status, problem(response)["type"]) == (status, kind)
     assert problem(response)["outcome"] == "not-run"
@@ -106,7 +106,7 @@
     assert (response.status, problem(response)["type"]) == (403, "denied")
 
 
-def test_an_upstream_that_refuses_is_passed_over(deployment, caller):
+def test_requests_refused_by_an_upstream_are_retried_at_another(deployment, caller):
     first = next(c for s, _, c in deployment.upstreams if s == "bays")
     fetch(first.address, "/fake/mode", {"mode": "refuse"})
     answers = [caller.call("e1", "bays") for _ in range(10)]
@@ -114,7 +114,7 @@
     assert first.address not in {header(a, "finchway-upstream") for a in answers}
 
 
-def test_when_all_refuse_the_answer_is_not_run_and_says_when_to_come_back(deployment, caller):
+def test_a_refusal_by_all_upstreams_is_not_run_and_has_retry_after(deployment, caller):
     set_modes(deployment, "bays", mode="refuse")
     before = len(runs(deployment, "bays"))
     response = caller.call("e1", "bays")
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("mode", ["cut", "stall", "fail", "silent"])
-def test_a_reservation_with_an_unknown_end_is_never_run_again(deployment, caller, mode):
+def test_a_reservation_with_an_unknown_outcome_is_never_run_again(deployment, caller, mode):
     set_modes(deployment, "reservations", mode=mode, count=1)
     key = str(uuid.uuid4())
     fields = {"idempotency-key": key, "finchway-timeout-ms": "1000"}
@@ -166,7 +166,7 @@
         assert again.status == 409
         return problem(again)["type"] == "unknown"
 
-    deployment.wait(settled, "the claim to be known as unknown")
+    deployment.wait(settled, "the claim to be settled as unknown")
     assert sum(1 for run in runs(deployment, "reservations") if run.key == key) <= 1
 
 
@@ -180,11 +180,11 @@
     assert second.status == 200
 
 
-def test_a_resend_through_another_entry_gets_the_same_answer(deployment, caller):
+def test_a_resend_through_another_entry_gets_the_same_response(deployment, caller):
     key = str(uuid.uuid4())
     first = caller.call("e1", "reservations", b"pay 5", {"idempotency-key": key})
 
-    def answered() -> bool:
+    def replayed() -> bool:
         again = caller.call("e2", "reservations", b"pay 5", {"idempotency-key": key})
         if again.status == 409:
             return False
@@ -192,7 +192,7 @@
         return header(again, "finchway-replayed") == "1"
 
     assert first.status == 200
-    deployment.wait(answered, "the answer to be kept")
+    deployment.wait(replayed, "the response to be stored")
     other = caller.call("e2", "reservations", b"pay 6", {"idempotency-key": key})
     assert (other.status, problem(other)["type"]) == (422, "key-reused")
     assert sum(1 for run in runs(deployment, "reservations") if run.key == key) == 1
@@ -215,7 +215,7 @@
     assert {run.key for run in ran} == set(keys)
 
 
-def test_uploads_and_large_answers_pass_whole_with_bounded_memory(deployment, caller):
+def test_uploads_and_large_responses_are_complete_with_bounded_memory(deployment, caller):
     pid = deployment.processes["e1"].pid
     body = bytes(range(256)) * 40_000
     caller.call("e1", "uploads", body)
@@ -229,7 +229,7 @@
     assert resident_mb(pid) - before < 15, "memory grew with the size of bodies"
 
 
-def test_a_large_answer_that_breaks_off_is_visibly_broken(deployment, caller):
+def test_a_truncated_large_response_is_detected_by_the_caller(deployment, caller):
     set_modes(deployment, "uploads", mode="cut")
     for _ in range(2):
         with pytest.raises((httpcore.RemoteProtocolError, httpcore.ReadError)):
@@ -238,12 +238,12 @@
     assert caller.call("e1", "uploads").status == 200
 
 
-def test_callers_who_leave_never_get_their_answer_to_others(deployment, caller):
-    """Half of the callers hang up while upstreams answer late; the rest get their own answers."""
+def test_responses_of_disconnected_callers_never_reach_others(deployment, caller):
+    """Callers disconnect while upstreams respond late; later callers get their own responses."""
     set_modes(deployment, "bays", mode="late")
     host, _, port = deployment.entry["e1"].rpartition(":")
 
-    def hang_up() -> None:
+    def disconnect() -> None:
         request = (
             f"GET /s/bays/call HTTP/1.1\r\nhost: x\r\nx-call: gone\r\n"
             f"authorization: Bearer {credential_of('gold')}\r\n\r\n"
@@ -251,11 +251,11 @@
         with socket.create_connection((host, int(port))) as sock:
             sock.sendall(request.encode())
 
-    leavers = [threading.Thread(target=hang_up) for _ in range(20)]
-    for leaver in leavers:
-        leaver.start()
-    for leaver in leavers:
-        leaver.join()
+    threads = [threading.Thread(target=disconnect) for _ in range(20)]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
     set_modes(deployment, "bays", mode="normal")
     for _ in range(30):
         response = caller.call("e1", "bays")
@@ -263,7 +263,7 @@
             assert msgspec.json.decode(response.content)["call"] == f"call{caller.calls}"
 
 
-def test_http2_works_towards_callers(deployment):
+def test_callers_can_use_http2(deployment):
     with httpcore.ConnectionPool(http1=False, http2=True) as pool:
         response = pool.request(
             "GET",
@@ -276,10 +276,10 @@
 
 
 def send_and_read(sock, data: bytes) -> bytes:
-    """Send a request and return what comes back; empty if the connection was closed or reset.
+    """Send a request and return the response; empty if the connection was closed or reset.
 
-    An entry that refuses before it has read everything resets the connection, and a reset that
-    arrives before the shutdown makes that fail instead of the read.
+    An entry that refuses a request before reading all of it resets the connection, which makes
+    either the shutdown or the read fail.
     """
     sock.sendall(data)
     try:
@@ -301,7 +301,7 @@
         b"POST /s/bays/x HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_malformed_requests_are_refused_and_harm_nobody(deployment, caller, data):
+def test_malformed_requests_are_refused_without_affecting_others(deployment, caller, data):
     host, _, port = deployment.entry["e1"].rpartition(":")
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         answer = send_and_read(sock, data)
--- a/tests/process/test_asked_rest.py
+++ b/tests/process/test_retry_after.py
@@ -1,10 +1,4 @@
-"""Upstreams that ask an entry for rest, and replicas that ask the operators' tool for it.
-
-An upstream answered 503 with `Retry-After` and got 62 requests from one process in that time, two
-for each call. That process was a gateway; an entry read the same answers by code of its own, which
-knew `finchway-outcome` and nothing of `Retry-After`, and left the upstream out for 0.05 s to 0.5 s.
-The tool asked a replica again every 0.5 s, whatever its answer said.
-"""
+"""Guards against requests to upstreams and replicas during the backoff of their `Retry-After`."""
 
 from __future__ import annotations
 
@@ -23,13 +17,13 @@
 from finchway.policy import Outcome
 from tests.process.conftest import Caller, header
 
-pytestmark = pytest.mark.xdist_group("asked-rest")
+pytestmark = pytest.mark.xdist_group("retry-after")
 
-REST_S = 2
-# A rest binds from half a second after the answer that asked for it; two requests may come in it.
-UNDER_WAY_S = 0.5
-MOST_AMID = 2
-CALLS_A_SECOND = 30
+BACKOFF_S = 2
+# Requests that were sent before the first response may arrive during this time.
+IN_FLIGHT_S = 0.5
+MAX_DURING_BACKOFF = 2
+CALLS_PER_SECOND = 30
 
 
 def bays(deployment) -> list[str]:
@@ -40,46 +34,46 @@
     return sum(fetch(address, "/fake/report")["refused"] for address in bays(deployment))
 
 
-def set_rest(deployment, seconds: int) -> None:
+def set_backoff(deployment, seconds: int) -> None:
     mode = {"mode": "refuse" if seconds else "normal", "rest_s": seconds}
     for address in bays(deployment):
         fetch(address, "/fake/mode", mode)
 
 
-def press(deployment, entry: str, seconds: float) -> list:
-    """Call at a steady rate, whatever becomes of the calls."""
+def send_at_rate(deployment, entry: str, seconds: float) -> list:
+    """Send requests at a fixed rate, regardless of their results."""
     with ThreadPoolExecutor(100) as pool:
         calls = []
-        for _ in range(int(seconds * CALLS_A_SECOND)):
+        for _ in range(int(seconds * CALLS_PER_SECOND)):
             calls.append(pool.submit(Caller(deployment).call, entry, "bays"))
-            time.sleep(1 / CALLS_A_SECOND)
+            time.sleep(1 / CALLS_PER_SECOND)
         return [call.result() for call in calls]
 
 
 @pytest.fixture(autouse=True)
-def normal(deployment):
+def reset_modes(deployment):
     yield
-    set_rest(deployment, 0)
+    set_backoff(deployment, 0)
 
 
-def test_upstreams_that_ask_an_entry_for_rest_get_nothing_until_its_end(deployment):
-    set_rest(deployment, REST_S)
+def test_an_entry_sends_nothing_to_upstreams_during_their_backoff(deployment):
+    set_backoff(deployment, BACKOFF_S)
     started = time.monotonic()
     with ThreadPoolExecutor(1) as pool:
-        # Calls that wait for the end of the rest are no concern here.
-        pressing = pool.submit(press, deployment, "e1", REST_S)
-        time.sleep(UNDER_WAY_S)
+        # Requests that wait for the end of the backoff are not checked here.
+        sending = pool.submit(send_at_rate, deployment, "e1", BACKOFF_S)
+        time.sleep(IN_FLIGHT_S)
         before = refused(deployment)
-        time.sleep(started + REST_S - 0.1 - time.monotonic())
-        amid = refused(deployment) - before
-        pressing.result()
+        time.sleep(started + BACKOFF_S - 0.1 - time.monotonic())
+        during = refused(deployment) - before
+        sending.result()
     assert before
-    assert amid <= MOST_AMID * len(bays(deployment))
+    assert during <= MAX_DURING_BACKOFF * len(bays(deployment))
 
 
-def test_callers_are_refused_at_once_and_told_when_the_rest_ends(deployment, caller):
-    set_rest(deployment, 10)
-    press(deployment, "e2", UNDER_WAY_S)
+def test_callers_are_refused_immediately_with_the_end_of_the_backoff(deployment, caller):
+    set_backoff(deployment, 10)
+    send_at_rate(deployment, "e2", IN_FLIGHT_S)
     started = time.monotonic()
     response = caller.call("e2", "bays", headers={"finchway-timeout-ms": "1500"})
     assert time.monotonic() - started < 0.5
@@ -88,7 +82,7 @@
     assert int(header(response, "retry-after")) >= 8
 
 
-def test_the_tool_keeps_to_the_rest_that_a_replica_asks_for():
+def test_the_cli_honours_the_retry_after_of_a_replica():
     answer = (
         b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nContent-Length: 17\r\n"
         b'Connection: close\r\n\r\n{"detail":"busy"}'
@@ -115,13 +109,13 @@
                 client.list("service")
 
         threading.Thread(target=ask, daemon=True).start()
-        time.sleep(REST_S + 0.5)
-        amid = [at for at in came_at if UNDER_WAY_S < at - came_at[0] < REST_S]
-        assert len(amid) <= MOST_AMID
+        time.sleep(BACKOFF_S + 0.5)
+        during = [at for at in came_at if IN_FLIGHT_S < at - came_at[0] < BACKOFF_S]
+        assert len(during) <= MAX_DURING_BACKOFF
         assert came_at
 
 
-def test_a_connection_that_comes_up_after_its_upstream_asked_for_rest_carries_nothing():
+def test_a_connection_established_after_a_backoff_began_carries_no_request():
     came: list[bytes] = []
 
     async def serve(stream) -> None:
--- a/tests/process/test_short_deadlines.py
+++ b/tests/process/test_short_deadlines.py
@@ -1,7 +1,4 @@
-"""Callers whose deadlines pass, or who leave, at any moment of an answer harm nobody else.
-
-An entry answers them or cuts their answers off. It goes on serving the patient caller beside them.
-"""
+"""Guards against deadlines or disconnects during a response that affect other callers."""
 
 from __future__ import annotations
 
@@ -17,9 +14,9 @@
 
 pytestmark = pytest.mark.xdist_group("short-deadlines")
 
-# Calls that the patient caller makes, and hasty ones that must have come by then.
-PATIENT_CALLS = 100
-HASTY_CALLS = 100
+# Minimum numbers of requests by the regular caller and by those with short deadlines.
+REGULAR_CALLS = 100
+SHORT_DEADLINE_CALLS = 100
 
 
 def request(call: str, timeout_ms: int, size: int) -> bytes:
@@ -30,18 +27,18 @@
     ).encode()
 
 
-class Hasty(threading.Thread):
-    """Calls an entry with short deadlines, again and again; may leave before the answer has come.
+class ShortDeadlineCaller(threading.Thread):
+    """Repeatedly sends requests with short deadlines; may disconnect before the response.
 
-    `heads` counts the heads that came on each of its connections, beside the requests sent there.
+    `heads` has the numbers of requests sent and response heads received on each connection.
     """
 
-    def __init__(self, address: str, seed: int, leaves: bool, stop: threading.Event) -> None:
+    def __init__(self, address: str, seed: int, disconnects: bool, stop: threading.Event) -> None:
         super().__init__()
         host, _, port = address.rpartition(":")
-        self.place = (host, int(port))
+        self.endpoint = (host, int(port))
         self.rng = random.Random(seed)
-        self.leaves = leaves
+        self.disconnects = disconnects
         self.stop = stop
         self.calls = 0
         self.refused_connections = 0
@@ -50,20 +47,20 @@
     def run(self) -> None:
         while not self.stop.is_set():
             try:
-                with socket.create_connection(self.place, timeout=2.0) as sock:
-                    self._use(sock)
+                with socket.create_connection(self.endpoint, timeout=2.0) as sock:
+                    self._send_request(sock)
             except ConnectionRefusedError:
                 self.refused_connections += 1
                 self.stop.wait(0.05)
             except OSError:
                 continue
 
-    def _use(self, sock: socket.socket) -> None:
+    def _send_request(self, sock: socket.socket) -> None:
         self.calls += 1
         self.stop.wait(self.rng.random() * 0.1)
         size = self.rng.choice([0, 0, 0, 1_000, 60_000, 70_000, 300_000])
-        sock.sendall(request(f"hasty{self.calls}", self.rng.randrange(1, 30), size))
-        if self.leaves:
+        sock.sendall(request(f"short{self.calls}", self.rng.randrange(1, 30), size))
+        if self.disconnects:
             sock.settimeout(self.rng.random() * 0.02)
             sock.recv(1_000)
             return
@@ -77,33 +74,35 @@
         self.heads.append((1, answer.count(b"HTTP/1.1 ")))
 
 
-@pytest.mark.parametrize("leaves", [False, True], ids=["deadlines", "leavers"])
+@pytest.mark.parametrize("disconnects", [False, True], ids=["deadlines", "disconnects"])
 @pytest.mark.parametrize("entry", ["e1", "e2"])
-def test_a_patient_caller_loses_nothing_beside_hasty_ones(deployment, entry, leaves):
-    """No deadline and no moment of leaving ends an entry, or has two heads on one request."""
+def test_regular_requests_succeed_beside_short_deadlines(deployment, entry, disconnects):
+    """No deadline or disconnect stops an entry or makes it send two response heads."""
     stop = threading.Event()
-    hasty = [Hasty(deployment.entry[entry], seed, leaves, stop) for seed in range(6)]
-    patient = Caller(deployment)
-    for caller in hasty:
+    others = [
+        ShortDeadlineCaller(deployment.entry[entry], seed, disconnects, stop) for seed in range(6)
+    ]
+    regular = Caller(deployment)
+    for caller in others:
         caller.start()
-    lost: list[object] = []
+    failures: list[object] = []
     try:
-        while patient.calls < PATIENT_CALLS or sum(c.calls for c in hasty) < HASTY_CALLS:
+        while regular.calls < REGULAR_CALLS or sum(c.calls for c in others) < SHORT_DEADLINE_CALLS:
             try:
-                answer = patient.call(entry, "bays")
+                response = regular.call(entry, "bays")
             except Exception as error:
-                lost.append(error)
+                failures.append(error)
                 stop.wait(0.05)
                 continue
-            if answer.status == 200:
-                assert msgspec.json.decode(answer.content)["call"] == f"call{patient.calls}"
+            if response.status == 200:
+                assert msgspec.json.decode(response.content)["call"] == f"call{regular.calls}"
             else:
-                lost.append(answer.content)
+                failures.append(response.content)
     finally:
         stop.set()
-        for caller in hasty:
+        for caller in others:
             caller.join()
     assert deployment.processes[entry].poll() is None, f"logs are in {deployment.folder}"
-    assert lost == []
-    assert sum(caller.refused_connections for caller in hasty) == 0
-    assert all(heads <= sent for caller in hasty for sent, heads in caller.heads)
+    assert failures == []
+    assert sum(caller.refused_connections for caller in others) == 0
+    assert all(heads <= sent for caller in others for sent, heads in caller.heads)
--- a/tests/unit/test_claim_desk.py
+++ b/tests/unit/test_claim_desk.py
@@ -1,4 +1,4 @@
-"""The claim desk: a given-up request is answered at once, its release goes on until it is known."""
+"""Release of idempotency keys: the caller waits briefly, retries continue in the background."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     )
 
 
-def test_a_release_without_a_quorum_holds_no_caller_and_is_not_forgotten():
+def test_a_release_without_a_quorum_returns_early_and_is_retried():
     submitted: list[ClaimState] = []
 
     async def submit(command, timeout):
@@ -44,7 +44,9 @@
         async with trio.open_nursery() as nursery:
             desk = ClaimDesk("e1@1", submit, nursery)
             assert not await desk.release(make_call(), "a1")
-            assert trio.current_time() <= 1.0, "the caller waits a second, not for the deadline"
+            assert (
+                trio.current_time() <= 1.0
+            ), "the caller waited for longer than the submit timeout"
             assert desk.unsettled == 1
             while desk.unsettled:
                 await trio.sleep(0.1)
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -1,4 +1,4 @@
-"""Relays: fewer messages at the leader, the same leases, and no harm when a relay dies."""
+"""Heartbeat relays: fewer messages to the leader, with leases kept even if a relay dies."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
     assert relay_of(store_of(12), "e1", "za", 32) is None
 
 
-def test_each_group_has_one_relay_that_talks_to_control_itself():
+def test_each_group_has_one_relay_that_contacts_control_directly():
     count = 100
     store = store_of(count)
     relays = [relay_of(store, f"e{i}", "za", 32) for i in range(count)]
-    heads = [i for i, relay in enumerate(relays) if relay is None]
-    assert len(heads) == -(-count // GROUP_SIZE)
-    assert {relay for relay in relays if relay} <= {f"10.0.0.1:{i + 1}" for i in heads}
+    direct = [i for i, relay in enumerate(relays) if relay is None]
+    assert len(direct) == -(-count // GROUP_SIZE)
+    assert {relay for relay in relays if relay} <= {f"10.0.0.1:{i + 1}" for i in direct}
 
 
 def run_world(relay_above: int, kill_relay: bool) -> World:
@@ -51,8 +51,8 @@
                 nursery.start_soon(world.load, "bays", rates, 10.0, spread)
                 await trio.sleep(2.0)
                 if kill_relay:
-                    heads = [e for e in world.entries.values() if is_head(world, e)]
-                    heads[0].kill()
+                    relays = [e for e in world.entries.values() if has_no_relay(world, e)]
+                    relays[0].kill()
                 await trio.sleep(8.0)
             world.leases = [
                 e.session.has_lease for e in world.entries.values() if e.dispatcher is not None
@@ -62,11 +62,11 @@
     return world
 
 
-def is_head(world: World, entry) -> bool:
+def has_no_relay(world: World, entry) -> bool:
     return relay_of(entry.view.store, entry.name, entry.zone, 4) is None
 
 
-def test_relays_cut_the_messages_and_keep_the_leases():
+def test_relays_reduce_messages_and_preserve_leases():
     direct = run_world(32, kill_relay=False)
     relayed = run_world(4, kill_relay=False)
     assert all(direct.leases) and all(relayed.leases)
@@ -74,7 +74,7 @@
     assert check(relayed.history()) == []
 
 
-def test_members_of_a_relay_that_dies_keep_their_leases():
+def test_group_members_keep_their_leases_if_their_relay_dies():
     world = run_world(4, kill_relay=True)
     assert len(world.leases) == 23 and all(world.leases)
     assert check(world.history()) == []
