--- a/src/finchway/entry/_claims.py
+++ b/src/finchway/entry/_claims.py
@@ -1,8 +1,8 @@
-"""Claims on idempotency keys as an entry makes them: claim, dispatch, settle.
+"""An entry's claims on idempotency keys, which are replicated by control.
 
-Nothing is dispatched before the claim is granted. Whatever happens after that, the claim is
-settled in the background until the leader has it; `not-run` is said only after the release is
-committed.
+A request is dispatched only after its claim is granted. Afterwards the claim is settled in the
+background with retries until the leader confirms it. `not-run` is reported to the caller only
+after the release is committed.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 _LOG = logging.getLogger(__name__)
 MAX_STORED_BYTES = 65_536
-_SETTLE_RETRY_S = 0.5
-_CLAIM_TRY_S = 1.0
+_SETTLE_RETRY_INTERVAL_S = 0.5
+_SUBMIT_TIMEOUT_S = 1.0
 
 Submit = Callable[[AnyCommand, float], Awaitable[AnyResult]]
 
 
 class StoredAnswer(Struct, frozen=True):
-    """An answer as it is kept with its claim; `complete` is false if it was too large."""
+    """A response stored with its claim; `complete` is false if it was too large to be stored."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -42,7 +42,7 @@
 
 
 class ClaimDesk:
-    """Claims keys for one life of an entry."""
+    """Claims idempotency keys for one incarnation of an entry."""
 
     def __init__(self, holder: str, submit: Submit, nursery: trio.Nursery) -> None:
         self._holder = holder
@@ -52,14 +52,14 @@
 
     @property
     def unsettled(self) -> int:
-        """How many claims the leader does not yet know the end of."""
+        """The number of claims whose settlement is not confirmed yet."""
         return self._unsettled
 
     async def claim(self, call: Call, body: bytes, retain_s: float) -> str | Answer:
-        """Return the attempt that may dispatch, or the answer of the one that ran.
+        """Return the id of the attempt that may run, or the stored response of an earlier one.
 
-        Raises `CallError` when the key is in use, unknown, too old, or was used otherwise, and
-        when no quorum grants it in time: then nothing was or will be dispatched.
+        Raises `CallError` if the key is in use, has an unknown outcome, has expired or belongs to
+        a different request, or if no quorum grants the claim in time. Nothing is dispatched then.
         """
         attempt = uuid.uuid4().hex
         command = ClaimKey(
@@ -75,7 +75,7 @@
         result = None
         while result is None and trio.current_time() < call.deadline:
             try:
-                left = min(_CLAIM_TRY_S, call.deadline - trio.current_time())
+                left = min(_SUBMIT_TIMEOUT_S, call.deadline - trio.current_time())
                 result = await self._submit(command, left)
             except FinchwayError as error:
                 _LOG.debug("claim not granted yet: %s", error)
@@ -83,24 +83,28 @@
         if result is None:
             self._nursery.start_soon(self._settle, call, attempt, ClaimState.RELEASED, b"")
             raise CallError(
-                "claim-unavailable", 503, Outcome.NOT_RUN, "the key could not be claimed", 1.0
+                "claim-unavailable",
+                503,
+                Outcome.NOT_RUN,
+                "the key could not be claimed in time",
+                1.0,
             )
-        return _read_claim(result, attempt)
+        return _interpret_claim(result, attempt)
 
     async def release(self, call: Call, attempt: str) -> bool:
-        """Commit that the attempt certainly did not run; False if that takes over a second.
+        """Release the claim of an attempt that did not run; return whether that is confirmed.
 
-        The caller of a request that was given up must not wait for its deadline; the release goes
-        on in the background.
+        The wait is limited, so that the caller is not held until its deadline; an unconfirmed
+        release continues in the background.
         """
         done = trio.Event()
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.RELEASED, b"", done)
-        with trio.move_on_after(_CLAIM_TRY_S):
+        with trio.move_on_after(_SUBMIT_TIMEOUT_S):
             await done.wait()
         return done.is_set()
 
-    async def finish(self, call: Call, attempt: str, answer: Answer, body: bytes | None) -> None:
-        """Record the answer in the background; `body` is None if it was too large to keep."""
+    async def complete(self, call: Call, attempt: str, answer: Answer, body: bytes | None) -> None:
+        """Store the response in the background; `body` is None if it was too large."""
         stored = StoredAnswer(
             answer.status,
             answer.headers,
@@ -112,8 +116,8 @@
         encoded = msgspec.msgpack.encode(stored)
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.DONE, encoded)
 
-    def give_up(self, call: Call, attempt: str) -> None:
-        """Record in the background that nobody can tell whether the attempt ran."""
+    def mark_unknown(self, call: Call, attempt: str) -> None:
+        """Record in the background that the attempt may or may not have run."""
         self._nursery.start_soon(self._settle, call, attempt, ClaimState.UNKNOWN, b"")
 
     async def _settle(
@@ -136,17 +140,17 @@
                 answer=answer,
             )
             try:
-                await self._submit(command, _CLAIM_TRY_S)
+                await self._submit(command, _SUBMIT_TIMEOUT_S)
                 break
             except FinchwayError as error:
                 _LOG.debug("claim not settled yet: %s", error)
-                await trio.sleep(_SETTLE_RETRY_S)
+                await trio.sleep(_SETTLE_RETRY_INTERVAL_S)
         self._unsettled -= 1
         if done is not None:
             done.set()
 
 
-def _read_claim(result: AnyResult, attempt: str) -> str | Answer:
+def _interpret_claim(result: AnyResult, attempt: str) -> str | Answer:
     if not isinstance(result, Claimed):
         raise CallError("internal", 500, Outcome.NOT_RUN, f"unexpected {type(result).__name__}")
     if result.granted:
@@ -155,11 +159,11 @@
         detail = "this Idempotency-Key was used for another request"
         raise CallError("key-reused", 422, Outcome.NOT_RUN, detail)
     if result.expired:
-        detail = "this Idempotency-Key is older than its records are kept"
+        detail = "the record of this Idempotency-Key has expired"
         raise CallError("key-expired", 422, Outcome.UNKNOWN, detail)
     match result.state:
         case ClaimState.DONE:
-            return _stored(result.answer)
+            return _decode_answer(result.answer)
         case ClaimState.CLAIMED:
             detail = "an earlier attempt with this key is still running"
             raise CallError("in-progress", 409, Outcome.UNKNOWN, detail, 1.0)
@@ -167,7 +171,7 @@
     raise CallError("unknown", 409, Outcome.UNKNOWN, detail)
 
 
-def _stored(encoded: bytes) -> Answer:
+def _decode_answer(encoded: bytes) -> Answer:
     stored = msgspec.msgpack.decode(encoded, type=StoredAnswer)
     if not stored.complete:
         detail = "the request ran; its answer was too large to be kept"
--- a/src/finchway/entry/_probe.py
+++ b/src/finchway/entry/_probe.py
@@ -1,8 +1,8 @@
-"""What an entry learns besides its own requests: upstreams' load and health, the platform's list.
+"""Health probes of upstreams, and polling of the platform's instance list.
 
-Each upstream is asked by a few watchers, picked by hashing from the entries that share it; what
-they learn reaches the others through the leader. An entry also asks upstreams of its own that
-have said nothing lately, and all of its own while the leader does not answer it.
+Each upstream is probed by a few entries, chosen by rendezvous hashing from those that share it;
+the leader distributes their results to the others. An entry also probes upstreams whose slots it
+holds if their last report is stale, and all of them while the leader does not respond.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 _LOG = logging.getLogger(__name__)
 PROBE_INTERVAL_S = 0.5
-QUIET_S = 1.0
-WATCH_S = 1.0
-WATCHERS = 2
+REPORT_STALE_S = 1.0
+MIN_PROBE_INTERVAL_S = 1.0
+PROBERS_PER_UPSTREAM = 2
 PROBE_TIMEOUT_S = 0.5
 PLATFORM_INTERVAL_S = 1.0
 HEALTH_PATH = "/finchway/health"
@@ -35,10 +35,10 @@
 
 
 class Health(Struct, frozen=True, kw_only=True):
-    """An upstream's answer to `GET /finchway/health`.
+    """The response body of `GET /finchway/health`.
 
-    `load` is busy slots and waiting requests over slots; `leaving` asks for no new work;
-    `incarnation` names this life of the upstream.
+    `load` is the number of busy slots and queued requests divided by the number of slots.
+    `leaving` requests no new work.
     """
 
     load: float | None = None
@@ -47,7 +47,7 @@
 
 
 class Prober:
-    """Asks quiet upstreams for their health and the platform for its list."""
+    """Probes upstreams and polls the platform's instance list."""
 
     def __init__(
         self,
@@ -56,12 +56,12 @@
         timeline: Timeline,
         platform: Callable[[], Awaitable[PlatformList]] | None,
         instance: str,
-        in_touch: Callable[[], bool],
+        is_leader_reachable: Callable[[], bool],
     ) -> None:
         self._view = view
         self._instance = instance
-        self._in_touch = in_touch
-        self._asked_at: dict[str, float] = {}
+        self._is_leader_reachable = is_leader_reachable
+        self._probed_at: dict[str, float] = {}
         self._client = client
         self._timeline = timeline
         self._platform = platform
@@ -78,35 +78,35 @@
         while True:
             async with trio.open_nursery() as nursery:
                 for address in self._due():
-                    self._asked_at[address] = trio.current_time()
+                    self._probed_at[address] = trio.current_time()
                     nursery.start_soon(self._probe, address)
-            await self._client.keep_only(self._staying())
+            await self._client.keep_only(self._accepting_upstreams())
             await trio.sleep(PROBE_INTERVAL_S)
 
-    def _staying(self) -> set[str]:
-        """Return the upstreams that may still get new work."""
+    def _accepting_upstreams(self) -> set[str]:
+        """Return the upstreams that may receive new requests."""
         return {s.address for s in self._view.directory if not (s.leaving or s.drained)}
 
     def _due(self) -> list[str]:
-        """Return the upstreams to ask now."""
+        """Return the upstreams that are due for a probe."""
         now = trio.current_time()
-        watched = self._view.watched(WATCHERS, self._instance)
+        targets = self._view.probe_targets(PROBERS_PER_UPSTREAM, self._instance)
         own = self._view.own_upstreams(now)
         due = []
         for state in self._view.directory:
             address = state.address
-            asked_at = self._asked_at.get(address, float("-inf"))
-            if now - asked_at < WATCH_S or address not in own | watched:
+            probed_at = self._probed_at.get(address, float("-inf"))
+            if now - probed_at < MIN_PROBE_INTERVAL_S or address not in own | targets:
                 continue
             if self._view.directory.rest_left(address, now) > 0:
                 continue
-            quiet = state.report is None or now - state.report.at > QUIET_S
-            if quiet or address in watched or not self._in_touch():
+            is_stale = state.report is None or now - state.report.at > REPORT_STALE_S
+            if is_stale or address in targets or not self._is_leader_reachable():
                 due.append(address)
         return due
 
     async def _probe(self, address: str) -> None:
-        health = await self._ask(address)
+        health = await self._fetch_health(address)
         now = trio.current_time()
         if health is None:
             return
@@ -116,10 +116,10 @@
             directory.record_report(address, LoadReport(health.load, now))
         if health.leaving and directory.mark_leaving(address):
             self._timeline.record(EventKind.UPSTREAM_LEAVING, address, "said by its health")
-        self._probe_region(address)
+        self._reopen_region(address)
 
-    def _probe_region(self, address: str) -> None:
-        """Let a region that is down be tried again once one of its upstreams answers."""
+    def _reopen_region(self, address: str) -> None:
+        """Reopen a region that is down after a successful probe of one of its upstreams."""
         key = self._view.pool_of(address)
         if key is not None and self._view.is_region_down(*key):
             basis = self._view.describe_region(key, trio.current_time())
@@ -127,12 +127,12 @@
             detail = f"{address}: its health answers; {basis}"
             self._timeline.record(EventKind.REGION_UP, "/".join(key), detail)
 
-    async def _ask(self, address: str) -> Health | None:
+    async def _fetch_health(self, address: str) -> Health | None:
         with trio.move_on_after(PROBE_TIMEOUT_S):
             try:
                 headers = [(b"host", b"health")]
                 opened = self._client.open(
-                    address, "GET", HEALTH_PATH, headers, b"", lambda: self._is_awake(address)
+                    address, "GET", HEALTH_PATH, headers, b"", lambda: self._is_not_resting(address)
                 )
                 async with opened as reply:
                     body = b"".join([chunk async for chunk in reply.chunks()])
@@ -143,7 +143,7 @@
                 _LOG.debug("health of %s: %s", address, error)
         return None
 
-    def _is_awake(self, address: str) -> bool:
+    def _is_not_resting(self, address: str) -> bool:
         return self._view.directory.rest_left(address, trio.current_time()) <= 0
 
     async def _poll_platform(self, source: Callable[[], Awaitable[PlatformList]]) -> None:
@@ -152,7 +152,7 @@
                 self._platform_view.record(await source())
                 self._mark_leaving()
             except FinchwayError as error:
-                _LOG.debug("the platform's list: %s", error)
+                _LOG.debug("fetching the platform's instance list failed: %s", error)
             await trio.sleep(PLATFORM_INTERVAL_S)
 
     def _mark_leaving(self) -> None:
@@ -162,7 +162,7 @@
 
 
 def platform_source(address: str) -> Callable[[], Awaitable[PlatformList]]:
-    """Return a function that fetches the platform's list from `http://address/instances`."""
+    """Return a function that fetches the instance list from `http://address/instances`."""
 
     async def fetch() -> PlatformList:
         try:
--- a/src/finchway/entry/_upstream.py
+++ b/src/finchway/entry/_upstream.py
@@ -1,9 +1,8 @@
-"""Requests to upstreams over kept httpcore connections.
+"""HTTP client for upstreams with persistent httpcore connections.
 
-Each upstream has a list of idle connections; httpcore's own pool looks through all connections
-for every request, which cost a seventh of an entry's time. A connection whose answer was not read
-to its end is never used again: httpcore closes it. An
-upstream's answer must say where it ends, by its length or by chunks, so that a cut is seen.
+Idle connections are kept in a list per upstream, because httpcore's own pool scans all connections
+for every request. httpcore closes a connection whose response was not read to its end. Responses
+need a Content-Length or chunked encoding, so that a truncated response is detected.
 """
 
 from __future__ import annotations
@@ -21,14 +20,14 @@
 
 _CONNECT_TIMEOUT_S = 1.0
 _KEEPALIVE_S = 30.0
-_MAX_IDLE = 16
-_LEAVING = b"finchway-leaving"
-_LIMIT = b"finchway-limit"
+_MAX_IDLE_CONNECTIONS = 16
+_LEAVING_HEADER = b"finchway-leaving"
+_LIMIT_HEADER = b"finchway-limit"
 _NO_BODY_STATUSES = frozenset({204, 304})
 
 
 class Reply:
-    """An upstream's answer whose body is still to be read."""
+    """An upstream's response with an unread body."""
 
     __slots__ = ("_response", "facts", "headers", "status")
 
@@ -39,44 +38,41 @@
         self.facts = read_facts(response.status, response.headers)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raises `UpstreamError` if it ends early."""
+        """Yield the body; raise `UpstreamError` if it is truncated."""
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
         except (httpcore.ProtocolError, httpcore.NetworkError, httpcore.TimeoutException) as error:
-            detail = f"the answer broke off: {error}"
+            detail = f"the response was truncated: {error}"
             raise UpstreamError(Outcome.UNKNOWN, detail) from error
 
 
-class _AskedMeanwhileError(httpcore.ConnectError):
-    """The upstream asked for less while a connection to it came up."""
+class _SendNotAllowedError(httpcore.ConnectError):
+    """The request may no longer be sent although the connection was established."""
 
 
-class _Connector(httpcore.AsyncNetworkBackend):
-    """Opens connections, and closes those whose upstream has asked for less meanwhile.
+class _CheckingBackend(httpcore.AsyncNetworkBackend):
+    """Network backend that closes a new connection if `may_send` returns false."""
 
-    `still_wants` is asked once more when a connection is up.
-    """
-
-    def __init__(self, still_wants: Callable[[], bool]) -> None:
+    def __init__(self, may_send: Callable[[], bool]) -> None:
         self._backend = httpcore.TrioBackend()
-        self._still_wants = still_wants
+        self._may_send = may_send
 
     async def connect_tcp(self, host, port, **options) -> httpcore.AsyncNetworkStream:
-        """Connect to an upstream."""
+        """Connect to an upstream; raise an error if the request may no longer be sent."""
         stream = await self._backend.connect_tcp(host, port, **options)
-        if self._still_wants():
+        if self._may_send():
             return stream
         await stream.aclose()
-        raise _AskedMeanwhileError("it has asked for less meanwhile")
+        raise _SendNotAllowedError("asked for backoff or named a limit while connecting")
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep between two tries."""
+        """Sleep between connection attempts."""
         await self._backend.sleep(seconds)
 
 
 class UpstreamClient:
-    """Sends requests to upstreams; keeps idle connections to each."""
+    """Sends requests to upstreams and reuses their idle connections."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[httpcore.AsyncHTTPConnection]] = {}
@@ -89,15 +85,15 @@
         target: str,
         headers: Headers,
         body: AsyncIterator[bytes] | bytes,
-        still_wants: Callable[[], bool] = lambda: True,
+        may_send: Callable[[], bool] = lambda: True,
     ) -> AsyncIterator[Reply]:
-        """Send a request and yield the answer once its head has come.
+        """Send a request and yield the response once its headers have arrived.
 
-        While a new connection came up, the upstream may have asked for rest, or named a limit:
-        `still_wants` tells then whether the request may go out. Raises `UpstreamError`: `not-run`
-        if no connection was made or wanted, `unknown` after that.
+        `may_send` is called after a new connection is established: by then the upstream may have
+        requested a backoff or named a rate limit. Raises `UpstreamError`, with the outcome
+        `not-run` if no connection was made or `may_send` returned false, else `unknown`.
         """
-        connection, origin = await self._take(address, still_wants)
+        connection, origin = await self._acquire(address, may_send)
         url = httpcore.URL(
             scheme=b"http", host=origin.host, port=origin.port, target=target.encode("latin-1")
         )
@@ -110,14 +106,14 @@
         )
         try:
             response = await connection.handle_async_request(request)
-        except _AskedMeanwhileError as error:
+        except _SendNotAllowedError as error:
             detail = f"{address}: {error}"
             raise UpstreamError(Outcome.NOT_RUN, detail, True, was_sent=False) from error
         except (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout) as error:
             detail = f"no connection to {address}: {error}"
             raise UpstreamError(Outcome.NOT_RUN, detail, was_sent=False) from error
         except (httpcore.ProtocolError, httpcore.NetworkError, httpcore.TimeoutException) as error:
-            detail = f"{address} broke off before it answered: {error}"
+            detail = f"{address} failed before responding: {error}"
             raise UpstreamError(Outcome.UNKNOWN, detail) from error
         try:
             _check_length(address, method, response)
@@ -125,22 +121,22 @@
         finally:
             with trio.CancelScope(shield=True):
                 await response.aclose()
-                await self._give_back(address, connection)
+                await self._release(address, connection)
 
-    async def forget(self, address: str) -> None:
-        """Close the idle connections to an upstream that receives nothing new."""
+    async def close_idle(self, address: str) -> None:
+        """Close the idle connections to an upstream."""
         for connection in self._idle.pop(address, []):
             await connection.aclose()
 
     async def keep_only(self, addresses: set[str]) -> None:
         """Close the idle connections to all other upstreams."""
         for address in [a for a in self._idle if a not in addresses]:
-            await self.forget(address)
+            await self.close_idle(address)
 
-    async def _take(
-        self, address: str, still_wants: Callable[[], bool]
+    async def _acquire(
+        self, address: str, may_send: Callable[[], bool]
     ) -> tuple[httpcore.AsyncHTTPConnection, httpcore.Origin]:
-        """Return an idle connection that still stands, the latest used first, or a new one."""
+        """Return the most recently used idle connection that is usable, or a new one."""
         host, _, port = address.rpartition(":")
         origin = httpcore.Origin(b"http", host.strip("[]").encode(), int(port))
         idle = self._idle.get(address, [])
@@ -150,20 +146,20 @@
                 return connection, origin
             await connection.aclose()
         connection = httpcore.AsyncHTTPConnection(
-            origin, keepalive_expiry=_KEEPALIVE_S, network_backend=_Connector(still_wants)
+            origin, keepalive_expiry=_KEEPALIVE_S, network_backend=_CheckingBackend(may_send)
         )
         return connection, origin
 
-    async def _give_back(self, address: str, connection: httpcore.AsyncHTTPConnection) -> None:
+    async def _release(self, address: str, connection: httpcore.AsyncHTTPConnection) -> None:
         idle = self._idle.setdefault(address, [])
-        if connection.is_idle() and len(idle) < _MAX_IDLE:
+        if connection.is_idle() and len(idle) < _MAX_IDLE_CONNECTIONS:
             idle.append(connection)
         else:
             await connection.aclose()
 
 
 def read_facts(status: int, headers: Headers) -> Facts:
-    """Read what an upstream says of itself, and asks for, in the head of an answer."""
+    """Read the finchway headers and the pushback from an upstream's response headers."""
     incarnation, load, not_run = "", None, False
     lowered = [(name.lower(), value) for name, value in headers]
     for name, value in lowered:
@@ -174,7 +170,7 @@
                 load = _number(value)
             case b"finchway-outcome":
                 not_run = status == 503 and value == b"not-run"
-    asked = read_asked(status, lowered, _LEAVING, _LIMIT, WALL.now())
+    asked = read_asked(status, lowered, _LEAVING_HEADER, _LIMIT_HEADER, WALL.now())
     return Facts(incarnation, load, not_run, asked)
 
 
--- a/src/finchway/entry/_view.py
+++ b/src/finchway/entry/_view.py
@@ -1,6 +1,6 @@
-"""An entry's view of the configuration, and the policy objects that follow it.
+"""An entry's copy of the configuration, and the policy objects derived from it.
 
-Changes are applied in order and an older revision is never applied over a newer one.
+Changes are applied in order; an older revision is never applied over a newer one.
 """
 
 from __future__ import annotations
@@ -40,15 +40,15 @@
     Service,
 )
 
-# Seconds between two trials of a region whose requests run at most once: one that fails may leave
-# its caller not knowing whether the request ran.
-ONCE_ONLY_TRIALS_APART_S = 0.1
+# Minimum interval between trial requests to a region that is down, for at-most-once services: a
+# failed trial may leave the outcome of its request unknown.
+ONCE_ONLY_TRIAL_INTERVAL_S = 0.1
 
 
 class EntryView:
-    """What one entry knows and decides with; it does no I/O and reads no clock.
+    """The state that one entry's decisions depend on; does no I/O and reads no clock.
 
-    `holder` and `directory` can be given to measure other ways to share and to choose.
+    `holder` and `directory` can be replaced to evaluate other policies.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._holder = holder or Holder(instance)
         self._directory = directory or Directory(rng)
         self._gate = Gate(self._holder, self._directory)
-        self._directory.divide_limits(self._part_of)
+        self._directory.divide_limits(self._limit_part)
         self._organisations: dict[str, str] = {}
         self._capacities: dict[tuple[str, str], Capacity] = {}
         self._active_moves: set[tuple[str, str]] = set()
@@ -77,8 +77,8 @@
         self._drains: dict[str, list[str]] = {}
         self._pool_of: dict[str, tuple[str, str]] = {}
         self._instance_drained = False
-        self._watched: set[str] = set()
-        self._watched_at = -1
+        self._probe_targets: set[str] = set()
+        self._probe_targets_revision = -1
 
     @property
     def store(self) -> ResourceStore:
@@ -102,12 +102,12 @@
 
     @property
     def holder(self) -> Holder:
-        """The entry's floors and loans."""
+        """The slots that this entry owns or has borrowed."""
         return self._holder
 
     @property
     def directory(self) -> Directory:
-        """What is known of the upstreams."""
+        """The state of each upstream."""
         return self._directory
 
     @property
@@ -117,11 +117,11 @@
 
     @property
     def is_drained(self) -> bool:
-        """Whether an operator's drain covers this instance."""
+        """Whether a drain applies to this instance."""
         return self._instance_drained
 
     def service(self, name: str) -> Service | None:
-        """Return the spec of a service."""
+        """Return the spec of a service; None if it does not exist."""
         resource = self._store.get("service", name)
         return resource.spec if resource else None
 
@@ -130,15 +130,15 @@
         return self._organisations.get(credential_digest)
 
     def contract(self, organisation: str, service: str) -> Contract | None:
-        """Return what an organisation pays for at a service."""
+        """Return an organisation's contract for a service; None if there is none."""
         resource = self._store.get("organisation", organisation)
         return resource.spec.contracts.get(service) if resource else None
 
     def pool_of(self, address: str) -> tuple[str, str] | None:
-        """Return the service and region that an upstream serves."""
+        """Return the service and region of an upstream's pool."""
         return self._pool_of.get(address)
 
-    def fellows(self) -> dict[str, str]:
+    def live_peers(self) -> dict[str, str]:
         """Return the peer addresses of the other live entries by name."""
         return {
             i.name: i.spec.peer
@@ -147,41 +147,41 @@
         }
 
     def apply(self, changes: list[Change], now: float) -> bool:
-        """Apply deltas that follow the present revision; False if there is nothing new."""
+        """Apply changes that follow the current revision; return False if none is new."""
         applied = [change for change in changes if self._store.apply(change)]
         if applied:
-            self._compile(now)
+            self._rebuild(now)
         return bool(applied)
 
     def install(self, state: list[Change], revision: int, now: float) -> bool:
-        """Take over a whole state; False if it is not newer than the present one."""
+        """Replace the state by a snapshot; return False if it is not newer."""
         if revision <= self._store.revision:
             return False
         self._store = ResourceStore([change.resource() for change in state], revision)
-        self._compile(now)
+        self._rebuild(now)
         return True
 
     def rank_of(self, organisation: str, service: str, contract: Contract, now: float) -> int:
-        """Return the rank of a request; beyond the paid rate it goes after all others."""
+        """Return the rank of a request; requests over the paid rate get the lowest one."""
         key = (organisation, service)
         self._windows.setdefault(key, RateWindow()).record(now)
         paid = self._rates.get(key)
         if paid is None:
-            paid = self._rates[key] = PaidRate(self._local_rate(service, contract), now)
+            paid = self._rates[key] = PaidRate(self._initial_rate(service, contract), now)
         priority = self._store.get("priority", contract.priority)
         rank = priority.spec.rank if priority else DEMOTED_RANK
         return rank if paid.take(now) else DEMOTED_RANK
 
     def set_rates(self, rates: dict[str, float]) -> None:
-        """Take over the parts of the paid rates that the leader has given to this entry."""
+        """Set this entry's parts of the paid rates, as allotted by the leader."""
         for name, rate in rates.items():
             organisation, _, service = name.partition("/")
             paid = self._rates.get((organisation, service))
             if paid is not None:
                 paid.rate = rate
 
-    def busy_rates(self, now: float) -> list[tuple[str, str, float]]:
-        """Return (organisation, service, requests/s) for all that are in use."""
+    def active_rates(self, now: float) -> list[tuple[str, str, float]]:
+        """Return (organisation, service, requests/s) for all non-zero rates."""
         rates = [(o, s, window.rate(now)) for (o, s), window in self._windows.items()]
         return [entry for entry in rates if entry[2] > 0]
 
@@ -190,30 +190,33 @@
     ) -> RegionChoice:
         """Return the regions that may serve a request, in order of preference.
 
-        The nearest other region that is up follows the assigned one, for callers within the open
-        part of the cap. While the assigned region is down those callers go to the other region. Of
-        the rest a few try it, so that it opens as soon as it serves again; the others are refused.
-        Health answers open it as well.
+        The assigned region is followed by the nearest other region that is up, for callers within
+        the part of the cap that the failover ramp has opened. While the assigned region is down,
+        those callers go to the other region. A few of the remaining callers are sent to the
+        assigned region as trials, to detect its recovery early; the others are refused. A
+        successful health probe also reopens it.
         """
         order = self._routes.candidates(service, home, caller)
         if not order:
             return RegionChoice()
         assigned = order[0]
         source_down = self._is_down(service, assigned)
-        spill: tuple[str, ...] = ()
+        failover: tuple[str, ...] = ()
         for target in order[1:]:
             if not self._is_down(service, target):
-                ramp = self._advance(service, assigned, target, source_down, len(order), now)
+                ramp = self._advance_ramp(service, assigned, target, source_down, len(order), now)
                 ramp.record(rank)
                 if ramp.allows(rank, caller_position(service, assigned, caller)):
-                    spill = (target,)
+                    failover = (target,)
                 break
         if not source_down:
-            return RegionChoice((assigned, *spill))
-        return RegionChoice(spill) if spill else self._try_region(service, assigned, now)
+            return RegionChoice((assigned, *failover))
+        return (
+            RegionChoice(failover) if failover else self._begin_region_trial(service, assigned, now)
+        )
 
     def record_result(self, address: str, succeeded: bool, now: float) -> tuple[bool, bool]:
-        """Note how a request at an upstream ended; returns (ejected now, region state changed)."""
+        """Record a request's result; return (upstream was ejected, region state changed)."""
         key = self._pool_of.get(address)
         if key is None:
             return False, False
@@ -229,29 +232,29 @@
         return ejected, health.is_down != was_down
 
     def is_region_down(self, service: str, region: str) -> bool:
-        """Tell whether a region fails to serve a service, as this entry sees it."""
+        """Return whether this entry considers a region down for a service."""
         return self._is_down(service, region)
 
     def describe_region(self, key: tuple[str, str], now: float) -> str:
-        """Return what a region's state rests on: its failures, and when it was last heard."""
+        """Return the basis of a region's state: its failures and the age of the latest report."""
         addresses = self._addresses_in(key)
         health = self._health.get(key) or RegionHealth()
         states = [self._directory.get(address) for address in addresses]
-        heard = [state.report.at for state in states if state is not None and state.report]
-        age = f"{now - max(heard):.3f} s ago" if heard else "never"
+        report_times = [state.report.at for state in states if state is not None and state.report]
+        age = f"{now - max(report_times):.3f} s ago" if report_times else "never"
         return (
             f"{health.streak} failures in a row at {health.failed} of {len(addresses)} upstreams, "
             f"last heard {age}, revision {self.revision}"
         )
 
     def reopen(self, key: tuple[str, str]) -> None:
-        """Let requests try a region again that was down."""
+        """Mark a region that was down as available again."""
         health = self._health.get(key)
         if health is not None:
             health.reopen()
 
     def drain_reports(self) -> list[DrainReport]:
-        """Return what is in flight to each thing that a drain covers."""
+        """Return the number of in-flight requests covered by each drain."""
         reports = []
         for drain in self._store.of_kind("drain"):
             addresses = self._drains.get(drain.name, [])
@@ -263,24 +266,24 @@
         return reports
 
     def own_upstreams(self, now: float) -> set[str]:
-        """Return the upstreams that this entry may have requests in flight at."""
+        """Return the upstreams of which this entry owns or has borrowed slots."""
         keys = self.share_keys()
         return {address for key in keys for address in self._holder.limits(key, now)}
 
-    def watched(self, watchers: int, instance: str) -> set[str]:
-        """Return the upstreams whose health this entry is to watch for all that share them."""
-        if self._watched_at != self.revision:
-            self._watched_at = self.revision
-            self._watched = {
+    def probe_targets(self, probers: int, instance: str) -> set[str]:
+        """Return the upstreams that this entry probes on behalf of all entries sharing them."""
+        if self._probe_targets_revision != self.revision:
+            self._probe_targets_revision = self.revision
+            self._probe_targets = {
                 address
                 for share in self._store.of_kind("share")
                 for address in share.spec.current.slots
-                if instance in rank(address, share.spec.current.members)[:watchers]
+                if instance in rank(address, share.spec.current.members)[:probers]
             }
-        return self._watched
+        return self._probe_targets
 
-    def marks(self) -> list[UpstreamMark]:
-        """Return what the leader should know of upstreams that are leaving, or were."""
+    def leaving_marks(self) -> list[UpstreamMark]:
+        """Return marks for upstreams that are leaving, or have returned since, for the leader."""
         found = []
         for state in self._directory:
             held = self._store.get("leaving", state.address)
@@ -294,7 +297,7 @@
         return [(s.spec.service, s.spec.region) for s in self._store.of_kind("share")]
 
     def shrunk(self, now: float) -> dict[str, int]:
-        """Return the epoch of each unsettled share that this entry's work already fits."""
+        """Return the epochs of unsettled shares whose new slots cover all in-flight requests."""
         return {
             share.name: share.spec.epoch
             for share in self._store.of_kind("share")
@@ -303,7 +306,7 @@
         }
 
     def loads(self, now: float, fresh_s: float = 2.0) -> dict[str, float]:
-        """Return the mean reported load of each share's region, from fresh reports only."""
+        """Return the mean reported load by share, ignoring reports older than `fresh_s`."""
         sums: dict[str, list[float]] = {}
         for state in self._directory:
             key = self._pool_of.get(state.address)
@@ -311,10 +314,10 @@
                 sums.setdefault(f"{key[0]}.{key[1]}", []).append(state.report.load)
         return {name: sum(values) / len(values) for name, values in sums.items()}
 
-    def _part_of(self, address: str, limit: float) -> Part:
+    def _limit_part(self, address: str, limit: float) -> Part:
         """Return this entry's part of an upstream's limit.
 
-        Its holders are the first of those that its slots are dealt to, who own most of them.
+        The limit is divided among the leading members of the upstream's shares.
         """
         members: list[str] = []
         for share in self._shares_of(address):
@@ -335,21 +338,20 @@
         states = [self._directory.get(a) for a in self._addresses_in((service, region))]
         return bool(states) and all(s is None or s.leaving or s.drained for s in states)
 
-    def _try_region(self, service: str, region: str, now: float) -> RegionChoice:
-        """Return a region that is down, if one more request may try it now."""
+    def _begin_region_trial(self, service: str, region: str, now: float) -> RegionChoice:
+        """Return a region that is down as the only candidate, if a trial may start now."""
         health = self._health.get((service, region))
         if health is None or not health.is_down:
             return RegionChoice()
         spec = self.service(service)
-        apart_s = ONCE_ONLY_TRIALS_APART_S if spec is not None and spec.once_only else 0.0
-        trial = health.begin_trial(now, len(self._addresses_in((service, region))), apart_s)
+        interval_s = ONCE_ONLY_TRIAL_INTERVAL_S if spec is not None and spec.once_only else 0.0
+        trial = health.begin_trial(now, len(self._addresses_in((service, region))), interval_s)
         return RegionChoice((region,), trial) if trial is not None else RegionChoice()
 
     def _addresses_in(self, key: tuple[str, str]) -> list[str]:
-        """Return the upstreams of a service in a region."""
         return [address for address, owner in self._pool_of.items() if owner == key]
 
-    def _advance(
+    def _advance_ramp(
         self, service: str, source: str, target: str, down: bool, regions: int, now: float
     ) -> FailoverRamp:
         ramp = self._ramps.get((service, source, target))
@@ -363,12 +365,12 @@
         ramp.advance(part, capacity.window_s, down, now)
         return ramp
 
-    def _local_rate(self, service: str, contract: Contract) -> float:
-        """Return this entry's part of a paid rate until the leader has said it."""
+    def _initial_rate(self, service: str, contract: Contract) -> float:
+        """Return this entry's part of a paid rate until the leader has allotted one."""
         spec = self.service(service)
         return contract.rate / max(1, spec.entries if spec else 1)
 
-    def _compile(self, now: float) -> None:
+    def _rebuild(self, now: float) -> None:
         store = self._store
         warm = self._routes.revision == 0
         self._routes = Routes(store, self._routes)
