--- a/src/finchway/replication/__init__.py
+++ b/src/finchway/replication/__init__.py
@@ -1,6 +1,7 @@
-"""The replicated log: an I/O-free core and its durable storage.
+"""The replicated log: an I/O-free Raft core and its durable storage.
 
-Drive a `Core` with time and messages, store what `take` returns in `Storage`, send, apply.
+The caller passes time and messages to a `Core`, saves what `take` returns in `Storage`, then sends
+the messages and applies the committed entries.
 """
 
 from finchway.replication._core import Core
--- a/src/finchway/replication/_core.py
+++ b/src/finchway/replication/_core.py
@@ -1,13 +1,13 @@
-"""The replicated log after the published Raft design, without I/O and without a clock.
+"""Raft consensus without I/O and without a clock.
 
-A shell feeds it time, messages and proposals, and carries out what `take` returns: write and sync
-first, then send, then apply. Pre-vote keeps a replica that was cut off from disturbing a working
-leader; a leader that hears no quorum steps down; a read is confirmed by a round of heartbeats.
+The driver passes in time, messages and proposals, and carries out what `take` returns in this
+order: write and sync, send, apply. Pre-vote keeps a partitioned replica from disrupting a working
+leader, a leader without contact to a quorum steps down, and a heartbeat round confirms each read.
 
     core = Core("a@1", "cluster", restored, random.Random(1), Timing(), now=0.0)
     core.tick(now)
     ready = core.take()
-    ...store ready.hard_state and ready.entries, sync...
+    ...write ready.hard_state and ready.entries, sync...
     core.persisted(ready)
 """
 
@@ -19,14 +19,14 @@
 
 from finchway.exceptions import ConflictError, NotLeaderError
 from finchway.replication import _messages as m
-from finchway.replication._elections import Elections
+from finchway.replication._elections import ElectionMixin
 from finchway.replication._log import Log
 from finchway.replication._progress import Progress
 from finchway.replication._ready import Ready, Restored, RoleName, Timing
 
 
-class Core(Elections):
-    """One replica of the log."""
+class Core(ElectionMixin):
+    """The Raft state of one replica."""
 
     def __init__(
         self,
@@ -44,18 +44,18 @@
         self._rng = rng
         self._term = max(restored.hard_state.term, snapshot.term)
         self._vote = restored.hard_state.vote
-        self._saved = restored.hard_state
+        self._saved_hard_state = restored.hard_state
         self._log = Log(snapshot.index, snapshot.term, snapshot.members, list(restored.entries))
         self._snapshot = snapshot
         self._commit = snapshot.index
         self._applied = snapshot.index
-        self._taken = self._log.last_index
+        self._taken_index = self._log.last_index
         self._stable = self._log.last_index
         self._members, self._members_index = self._log.members()
         self._role = RoleName.FOLLOWER
         self._leader: str | None = None
         self._now = now
-        self._heard_at = float("-inf")
+        self._leader_contact_at = float("-inf")
         self._progress: dict[str, Progress] = {}
         self._votes: set[str] = set()
         self._pre_vote = False
@@ -71,83 +71,83 @@
 
     @property
     def id(self) -> str:
-        """The identity of this replica."""
+        """The identity of this replica, `name@incarnation`."""
         return self._id
 
     @property
     def role(self) -> RoleName:
-        """What the replica is at the moment."""
+        """The current Raft role."""
         return self._role
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica is the leader of its current term."""
         return self._role is RoleName.LEADER
 
     @property
     def leader(self) -> str | None:
-        """The identity of the leader, if one is known."""
+        """The identity of the leader, or None if it is unknown."""
         return self._leader
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """The current Raft term."""
         return self._term
 
     @property
     def commit(self) -> int:
-        """The index up to which entries are committed."""
+        """The commit index."""
         return self._commit
 
     @property
     def last_index(self) -> int:
-        """The index of the newest entry."""
+        """The index of the last log entry."""
         return self._log.last_index
 
     @property
     def members(self) -> m.Members:
-        """The newest replica set in the log, committed or not."""
+        """The newest replica set in the log, which may not be committed yet."""
         return self._members
 
     @property
     def snapshot_index(self) -> int:
-        """The index that the newest snapshot stands for."""
+        """The index of the last entry covered by the newest snapshot."""
         return self._log.first_index - 1
 
     def match_of(self, replica: str) -> int:
-        """Return up to where a follower has acknowledged; for leaders only."""
+        """Return the highest index a follower has acknowledged; 0 unless this is the leader."""
         progress = self._progress.get(replica)
         return progress.match if progress else 0
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at an index, where it is still held."""
+        """Return the term of the entry at `index`, or None if it is not in the log."""
         return self._log.term_at(index)
 
     def members_at(self, index: int) -> m.Members:
-        """Return the replica set in force at an index."""
+        """Return the replica set that applies at `index`."""
         return self._log.members(index)[0]
 
     def silent_for(self, replica: str) -> float:
-        """Return for how many seconds the leader has not heard a follower; 0 if it is not one."""
+        """Return the seconds since a follower last replied; 0 for a replica without progress."""
         progress = self._progress.get(replica)
         return self._now - progress.acked_at if progress else 0.0
 
     def heard_leader_within(self, seconds: float) -> bool:
-        """Tell whether this replica leads, or heard the leader within some seconds."""
-        return self.is_leader or self._now - self._heard_at < seconds
+        """Whether this replica leads, or received a message from the leader within `seconds`."""
+        return self.is_leader or self._now - self._leader_contact_at < seconds
 
     @property
     def has_work(self) -> bool:
-        """Whether `take` would return anything to do."""
-        unsaved = m.HardState(self._term, self._vote) != self._saved
-        written = self._taken < self._log.last_index or self._install is not None
-        waiting = bool(self._outbox or self._ready_reads) or self._applied < self._commit
-        return unsaved or written or waiting
+        """Whether `take` would return any work."""
+        unsaved = m.HardState(self._term, self._vote) != self._saved_hard_state
+        unwritten = self._taken_index < self._log.last_index or self._install is not None
+        undelivered = bool(self._outbox or self._ready_reads) or self._applied < self._commit
+        return unsaved or unwritten or undelivered
 
-    # Inputs
+    # Input
 
     def tick(self, now: float) -> None:
-        """Let time pass: heartbeats, the leader's quorum check, elections."""
+        """Advance the clock: sends heartbeats, checks the quorum and starts elections when due."""
         self._now = max(now, self._now)
         if self.is_leader:
             self._tick_leader()
@@ -155,17 +155,20 @@
             self._campaign(pre=True)
 
     def propose(self, data: bytes) -> int:
-        """Append a command and return its index; raises `NotLeaderError` elsewhere."""
+        """Append a command and return its index.
+
+        Raises `NotLeaderError` on a follower and during a leadership transfer.
+        """
         self._require_leader()
         if self._transfer is not None:
             raise NotLeaderError(self._transfer[0])
-        return self._append_own(m.EntryKind.COMMAND, data)
+        return self._append_as_leader(m.EntryKind.COMMAND, data)
 
     def change_members(self, members: m.Members) -> int:
-        """Append a replica set that differs by one voter from the present one.
+        """Append a replica set that differs by at most one voter from the current one.
 
-        Raises `ConflictError` while an earlier change is not committed, or when more than one
-        voter would change at once.
+        Raises `ConflictError` if an earlier change is not committed, or if more than one voter
+        would change.
         """
         self._require_leader()
         if self._members_index > self._commit or self._log.term_at(self._commit) != self._term:
@@ -176,10 +179,10 @@
             raise ConflictError("replica changes are made one voter at a time")
         if not new:
             raise ConflictError("a replica set needs at least one voter")
-        return self._append_own(m.EntryKind.MEMBERS, msgspec.msgpack.encode(members))
+        return self._append_as_leader(m.EntryKind.MEMBERS, msgspec.msgpack.encode(members))
 
     def read(self, token: int) -> None:
-        """Ask for a confirmed read; `Ready.reads` gives the token and the index to wait for."""
+        """Start a linearizable read; `Ready.reads` returns `token` and the index to wait for."""
         self._require_leader()
         self._read_round += 1
         self._reads.append((self._read_round, token))
@@ -187,19 +190,19 @@
         self._finish_reads()
 
     def transfer(self, target: str) -> None:
-        """Hand leadership to a voter that has caught up, as part of a planned stop."""
+        """Transfer leadership to a voter once its log is up to date."""
         self._require_leader()
         if target != self._id and self._members.is_voter(target):
             self._transfer = (target, self._now + self._timing.election)
             self._try_transfer()
 
     def compact(self, snapshot: m.Snapshot) -> None:
-        """Let a stored snapshot of applied entries stand for them."""
+        """Replace the entries that a saved snapshot covers by the snapshot."""
         self._log.compact(snapshot.index, snapshot.members)
         self._snapshot = snapshot
 
     def step(self, message: m.AnyMessage, now: float) -> None:
-        """Take in one message; those of other clusters and identities are dropped."""
+        """Process one message; messages for another cluster or replica are dropped."""
         self._now = max(now, self._now)
         if message.cluster != self._cluster or message.target != self._id:
             return
@@ -216,19 +219,19 @@
             case m.AppendReply():
                 self._on_append_reply(message)
             case m.InstallSnapshot():
-                self._on_install(message)
+                self._on_install_snapshot(message)
             case m.TimeoutNow():
                 if message.term == self._term and self._members.is_voter(self._id):
                     self._campaign(pre=False, transfer=True)
 
-    # Outputs
+    # Output
 
     def take(self) -> Ready:
-        """Return what the shell has to do now; call `persisted` once it is on disk."""
+        """Return the pending work; the driver calls `persisted` once it is on disk."""
         hard = m.HardState(self._term, self._vote)
-        entries = self._log.slice(self._taken + 1, self._log.last_index + 1)
+        entries = self._log.slice(self._taken_index + 1, self._log.last_index + 1)
         ready = Ready(
-            hard if hard != self._saved else None,
+            hard if hard != self._saved_hard_state else None,
             self._install,
             self._truncate,
             entries,
@@ -236,14 +239,14 @@
             [],
             self._ready_reads,
         )
-        self._saved = hard
-        self._taken = self._log.last_index
+        self._saved_hard_state = hard
+        self._taken_index = self._log.last_index
         self._outbox, self._ready_reads = [], []
         self._install = self._truncate = None
         return ready
 
     def persisted(self, ready: Ready) -> list[m.Entry]:
-        """Note that `ready` is on disk; returns the newly committed entries, to be applied."""
+        """Record that `ready` is on disk and return the newly committed entries to apply."""
         if ready.entries:
             last = ready.entries[-1]
             if self._log.term_at(last.index) == last.term:
@@ -254,7 +257,7 @@
         self._applied = self._commit
         return committed
 
-    # Leading
+    # Leader
 
     def _require_leader(self) -> None:
         if not self.is_leader:
@@ -268,7 +271,7 @@
             for replica in sorted(ids)
         }
 
-    def _append_own(self, kind: m.EntryKind, data: bytes) -> int:
+    def _append_as_leader(self, kind: m.EntryKind, data: bytes) -> int:
         entry = m.Entry(self._term, self._log.last_index + 1, kind, data)
         self._log.append([entry])
         if kind is m.EntryKind.MEMBERS:
@@ -287,22 +290,22 @@
             self._broadcast(heartbeat=True)
         if self._transfer and self._now > self._transfer[1]:
             self._transfer = None
-        if not self._quorum_answers() or not self._may_lead():
+        if not self._has_quorum_contact() or not self._is_eligible_leader():
             self._become_follower(self._term, None)
 
-    def _may_lead(self) -> bool:
+    def _is_eligible_leader(self) -> bool:
         committed = self._members_index <= self._commit
         return self._members.is_voter(self._id) or not committed
 
-    def _quorum_answers(self) -> bool:
-        oldest = self._now - 2 * self._timing.election
-        return self._count(lambda p: p.acked_at >= oldest) >= self._members.quorum
+    def _has_quorum_contact(self) -> bool:
+        cutoff = self._now - 2 * self._timing.election
+        return self._count_voters(lambda p: p.acked_at >= cutoff) >= self._members.quorum
 
-    def _count(self, test) -> int:
-        """Count the voters that pass a test, this replica included if it votes."""
+    def _count_voters(self, matches) -> int:
+        """Count the voters that match a predicate, including this replica if it is a voter."""
         own = int(self._members.is_voter(self._id))
         voters = {member.id for member in self._members.voters}
-        return own + sum(test(p) for replica, p in self._progress.items() if replica in voters)
+        return own + sum(matches(p) for replica, p in self._progress.items() if replica in voters)
 
     def _broadcast(self, heartbeat: bool = False) -> None:
         for replica, progress in self._progress.items():
@@ -324,7 +327,7 @@
             progress.next = stop
         self._send(
             m.Append(
-                **self._to(replica),
+                **self._envelope(replica),
                 previous_index=previous,
                 previous_term=previous_term,
                 entries=tuple(entries),
@@ -338,7 +341,9 @@
             return
         progress.snapshot_at = self._now
         self._send(
-            m.InstallSnapshot(**self._to(replica), snapshot=self._snapshot, read=self._read_round)
+            m.InstallSnapshot(
+                **self._envelope(replica), snapshot=self._snapshot, read=self._read_round
+            )
         )
 
     def _on_append_reply(self, message: m.AppendReply) -> None:
@@ -352,7 +357,7 @@
             if progress.next <= self._log.last_index:
                 self._send_append(message.sender, progress)
         else:
-            progress.refuse(message.hint, self._now)
+            progress.reject(message.hint, self._now)
             self._send_append(message.sender, progress)
         self._finish_reads()
         self._try_transfer()
@@ -375,35 +380,35 @@
     def _finish_reads(self) -> None:
         if self._log.term_at(self._commit) != self._term:
             return
-        waiting = []
+        unconfirmed = []
         for round_number, token in self._reads:
-            if self._count(lambda p, r=round_number: p.read >= r) >= self._members.quorum:
+            if self._count_voters(lambda p, r=round_number: p.read >= r) >= self._members.quorum:
                 self._ready_reads.append((token, self._commit))
             else:
-                waiting.append((round_number, token))
-        self._reads = waiting
+                unconfirmed.append((round_number, token))
+        self._reads = unconfirmed
 
     def _try_transfer(self) -> None:
         if self._transfer is None:
             return
         target = self._transfer[0]
         if self.match_of(target) == self._log.last_index:
-            self._send(m.TimeoutNow(**self._to(target)))
+            self._send(m.TimeoutNow(**self._envelope(target)))
 
-    # Following
+    # Follower
 
-    def _follow(self, message: m.Append | m.InstallSnapshot) -> bool:
+    def _accept_leader(self, message: m.Append | m.InstallSnapshot) -> bool:
         if message.term < self._term:
             self._reply(message, success=False, match=0, hint=self._log.last_index)
             return False
         if self._role is not RoleName.FOLLOWER or self._leader != message.sender:
             self._become_follower(message.term, message.sender)
-        self._heard_at = self._now
+        self._leader_contact_at = self._now
         self._reset_election(self._now)
         return True
 
     def _on_append(self, message: m.Append) -> None:
-        if not self._follow(message):
+        if not self._accept_leader(message):
             return
         previous = message.previous_index
         if previous < self._log.first_index - 1:
@@ -413,56 +418,56 @@
             hint = min(self._log.last_index, self._conflict_hint(previous))
             self._reply(message, success=False, match=0, hint=hint)
             return
-        self._accept(message.entries)
+        self._append_received(message.entries)
         match = previous + len(message.entries)
         self._commit = max(self._commit, min(message.commit, match))
         self._reply(message, success=True, match=match, hint=0)
 
     def _conflict_hint(self, previous: int) -> int:
-        """Step over a whole term that disagrees, so that a long divergence ends in few rounds."""
+        """Skip the whole conflicting term, so that divergent logs converge in few rounds."""
         term = self._log.term_at(previous)
         index = previous - 1
         while term is not None and index > self._commit and self._log.term_at(index) == term:
             index -= 1
         return max(index, self._commit)
 
-    def _accept(self, entries: tuple[m.Entry, ...]) -> None:
+    def _append_received(self, entries: tuple[m.Entry, ...]) -> None:
         for position, entry in enumerate(entries):
-            held = self._log.term_at(entry.index)
-            if held == entry.term:
+            existing_term = self._log.term_at(entry.index)
+            if existing_term == entry.term:
                 continue
-            if held is not None:
+            if existing_term is not None:
                 self._log.truncate(entry.index)
-                self._note_truncated(entry.index)
+                self._record_truncation(entry.index)
             self._log.append(list(entries[position:]))
             self._refresh_members()
             return
 
-    def _note_truncated(self, index: int) -> None:
-        if index <= self._taken:
-            earlier = index if self._truncate is None else self._truncate
-            self._truncate = min(earlier, index)
-            self._taken = index - 1
+    def _record_truncation(self, index: int) -> None:
+        if index <= self._taken_index:
+            pending = index if self._truncate is None else self._truncate
+            self._truncate = min(pending, index)
+            self._taken_index = index - 1
             self._stable = min(self._stable, index - 1)
 
-    def _on_install(self, message: m.InstallSnapshot) -> None:
-        if not self._follow(message):
+    def _on_install_snapshot(self, message: m.InstallSnapshot) -> None:
+        if not self._accept_leader(message):
             return
         snapshot = message.snapshot
         if snapshot.index > self._commit:
             self._log.reset(snapshot.index, snapshot.term, snapshot.members)
-            self._commit = self._applied = self._taken = self._stable = snapshot.index
+            self._commit = self._applied = self._taken_index = self._stable = snapshot.index
             self._install = self._snapshot = snapshot
             self._truncate = None
             self._refresh_members()
         self._reply(message, success=True, match=min(snapshot.index, self._commit), hint=0)
 
     def _reply(self, message: m.Append | m.InstallSnapshot, **fields) -> None:
-        self._send(m.AppendReply(**self._to(message.sender), read=message.read, **fields))
+        self._send(m.AppendReply(**self._envelope(message.sender), read=message.read, **fields))
 
-    # Sending
+    # Messages
 
-    def _to(self, target: str, term: int | None = None) -> dict:
+    def _envelope(self, target: str, term: int | None = None) -> dict:
         return {
             "cluster": self._cluster,
             "sender": self._id,
--- a/src/finchway/replication/_elections.py
+++ b/src/finchway/replication/_elections.py
@@ -1,6 +1,6 @@
-"""Elections of the replicated log: pre-votes, votes, and when to give them.
+"""Raft leader election: pre-votes, votes and election timeouts.
 
-The core inherits this part; it shares the core's state and does nothing on its own.
+`Core` inherits `ElectionMixin`, which uses the state of the core and has none of its own.
 """
 
 from __future__ import annotations
@@ -8,31 +8,32 @@
 from finchway.replication import _messages as m
 from finchway.replication._ready import RoleName
 
-# Part of the election time that a replica waits while it has heard no leader since it started.
-# After a start of all replicas nobody leads, and every moment until someone does is lost; where
-# there is a leader, its next heartbeat (a tenth of the election time) comes first, and pre-votes
-# keep a hasty replica from disturbing it. A third is several round trips between regions.
-UNLED_PART = 1 / 3
+# Fraction of the election timeout before the first election after a start. Shortens the time
+# without a leader when all replicas restart. An existing leader sends its heartbeat earlier than
+# that, and pre-votes protect it from a premature election.
+INITIAL_ELECTION_FRACTION = 1 / 3
 
 
-class Elections:
-    """The part of a replica that stands for election and votes."""
+class ElectionMixin:
+    """Campaigning and voting of one replica."""
 
     def _reset_election(self, now: float) -> None:
-        part = UNLED_PART if self._heard_at == float("-inf") else 1.0
-        self._election_at = now + part * self._timing.election * (1 + self._rng.random())
+        fraction = INITIAL_ELECTION_FRACTION if self._leader_contact_at == float("-inf") else 1.0
+        self._election_at = now + fraction * self._timing.election * (1 + self._rng.random())
 
     def _ignores_term(self, message: m.AnyMessage) -> bool:
         if isinstance(message, m.VoteReply):
             return message.pre and message.granted
         if not isinstance(message, m.VoteRequest):
             return False
-        return message.pre or (not message.transfer and self._hears_leader())
+        return message.pre or (not message.transfer and self._has_recent_leader())
 
-    def _hears_leader(self) -> bool:
+    def _has_recent_leader(self) -> bool:
         if self.is_leader:
             return True
-        return self._leader is not None and self._now - self._heard_at < self._timing.election
+        return (
+            self._leader is not None and self._now - self._leader_contact_at < self._timing.election
+        )
 
     def _become_follower(self, term: int, leader: str | None) -> None:
         if term > self._term:
@@ -57,7 +58,7 @@
             if member.id != self._id:
                 self._send(
                     m.VoteRequest(
-                        **self._to(member.id, term),
+                        **self._envelope(member.id, term),
                         pre=pre,
                         last_index=self._log.last_index,
                         last_term=self._log.last_term,
@@ -76,20 +77,22 @@
             self._become_leader()
 
     def _on_vote_request(self, message: m.VoteRequest) -> None:
-        newest = (message.last_term, message.last_index)
-        up_to_date = newest >= (self._log.last_term, self._log.last_index)
+        candidate_log = (message.last_term, message.last_index)
+        up_to_date = candidate_log >= (self._log.last_term, self._log.last_index)
         if message.pre:
-            granted = up_to_date and message.term > self._term and not self._hears_leader()
+            granted = up_to_date and message.term > self._term and not self._has_recent_leader()
             reply_term = message.term if granted else self._term
         else:
-            free = self._vote in ("", message.sender)
-            granted = up_to_date and message.term == self._term and free
+            can_vote = self._vote in ("", message.sender)
+            granted = up_to_date and message.term == self._term and can_vote
             reply_term = self._term
             if granted:
                 self._vote = message.sender
                 self._reset_election(self._now)
         self._send(
-            m.VoteReply(**self._to(message.sender, reply_term), pre=message.pre, granted=granted)
+            m.VoteReply(
+                **self._envelope(message.sender, reply_term), pre=message.pre, granted=granted
+            )
         )
 
     def _on_vote_reply(self, message: m.VoteReply) -> None:
@@ -106,4 +109,4 @@
         self._progress = {}
         self._reads = []
         self._sync_progress()
-        self._append_own(m.EntryKind.NOOP, b"")
+        self._append_as_leader(m.EntryKind.NOOP, b"")
--- a/src/finchway/replication/_identity.py
+++ b/src/finchway/replication/_identity.py
@@ -1,4 +1,4 @@
-"""Who a replica is: its cluster, its name, and the incarnation of its data folder."""
+"""The persistent identity of a replica: cluster, name and incarnation of its data folder."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 
 
 class Identity(Struct, frozen=True):
-    """The identity kept in the data folder; an empty folder gets a new incarnation."""
+    """The identity stored in the data folder; each new data folder has its own incarnation."""
 
     cluster: str
     name: str
     incarnation: str
 
     def member(self, address: str) -> Member:
-        """Return this replica as a member of the replica set."""
+        """Return the `Member` for this replica at `address`."""
         return Member(self.name, self.incarnation, address)
 
 
 def load_identity(folder: Path, name: str) -> Identity | None:
-    """Read the identity; None if the folder has none.
+    """Read the identity, or return None if the folder has none.
 
-    Raises `StorageError` if the folder belongs to a replica with another name.
+    Raises `StorageError` if the folder belongs to a replica with a different name, and
+    `StorageDamagedError` if the file cannot be decoded.
     """
     path = folder / _FILE
     if not path.exists():
@@ -45,7 +46,7 @@
 
 
 def create_identity(folder: Path, name: str, cluster: str, incarnation: str = "") -> Identity:
-    """Write and sync a new identity, by default with a fresh incarnation."""
+    """Write and sync a new identity; a new incarnation is generated if none is given."""
     folder.mkdir(parents=True, exist_ok=True)
     identity = Identity(cluster, name, incarnation or uuid.uuid4().hex[:12])
     temporary = folder / f"{_FILE}.tmp"
@@ -63,18 +64,18 @@
 
 
 def require_identity(folder: Path, name: str) -> Identity:
-    """Read the identity, or say how an empty folder may start a cluster."""
+    """Read the identity; raises `NotBootstrappedError` if the folder has none."""
     identity = load_identity(folder, name)
     if identity is None:
         raise NotBootstrappedError(
-            f"{folder} holds no replica",
+            f"{folder} contains no replica",
             "run `finchway bootstrap` once for a new cluster, or set --control_peers to join one",
         )
     return identity
 
 
 def quarantine(folder: Path) -> Path:
-    """Move a damaged data folder aside, so that the replica can come back as a new one."""
-    aside = folder.with_name(f"{folder.name}.damaged-{uuid.uuid4().hex[:8]}")
-    os.replace(folder, aside)
-    return aside
+    """Rename a damaged data folder, so that the replica can rejoin with an empty one."""
+    renamed = folder.with_name(f"{folder.name}.damaged-{uuid.uuid4().hex[:8]}")
+    os.replace(folder, renamed)
+    return renamed
--- a/src/finchway/replication/_messages.py
+++ b/src/finchway/replication/_messages.py
@@ -1,7 +1,7 @@
 """The records of the replicated log and the messages between its replicas.
 
-All messages are safe when they arrive late, twice or out of order: each carries the term of its
-sender, and what it claims about the log is checked against positions.
+Messages may be delayed, duplicated or reordered: each carries the sender's term, and the receiver
+checks its log positions before it acts.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class Member(Struct, frozen=True, order=True):
-    """A replica: `name` is its place, `incarnation` the life of its data folder.
+    """A replica: its configured `name` and the `incarnation` of its data folder.
 
-    A replica that lost its data comes back under the same name with another incarnation, so it
-    can never vote on the strength of what its earlier life had promised.
+    A replica that lost its data rejoins under the same name with a new incarnation, so it cannot
+    vote under an identity whose votes and acknowledgements it has lost.
     """
 
     name: str
@@ -24,14 +24,14 @@
 
     @property
     def id(self) -> str:
-        """The identity under which the replica votes and acknowledges."""
+        """The identity that is used in votes and acknowledgements."""
         return f"{self.name}@{self.incarnation}"
 
 
 class Members(Struct, frozen=True):
     """The replica set: voters form quorums, learners only receive the log.
 
-    `expected` names further replicas that may join without another word of an operator.
+    `expected` lists the names of further replicas that may join without an operator's request.
     """
 
     voters: tuple[Member, ...] = ()
@@ -40,20 +40,20 @@
 
     @property
     def quorum(self) -> int:
-        """How many voters make a majority."""
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def find(self, replica: str) -> Member | None:
-        """Return the member with this identity, voter or learner."""
+        """Return the voter or learner with this identity, or None."""
         return next((m for m in self.voters + self.learners if m.id == replica), None)
 
     def is_voter(self, replica: str) -> bool:
-        """Tell whether this identity has a vote."""
+        """Whether the replica with this identity is a voter."""
         return any(member.id == replica for member in self.voters)
 
 
 class EntryKind(Enum):
-    """What an entry of the log carries."""
+    """The type of a log entry."""
 
     COMMAND = 0
     MEMBERS = 1
@@ -61,7 +61,7 @@
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One record of the log; `data` is a command, or encoded `Members`."""
+    """One log entry; `data` is an encoded command or encoded `Members`."""
 
     term: int
     index: int
@@ -70,7 +70,7 @@
 
 
 class Snapshot(Struct, frozen=True, array_like=True):
-    """The state after `index`, with the replica set in force there."""
+    """The encoded state after the entry at `index`, with the replica set at that point."""
 
     index: int
     term: int
@@ -79,14 +79,14 @@
 
 
 class HardState(Struct, frozen=True, array_like=True):
-    """What a replica must not forget: its term and whom it voted for in it."""
+    """The term and vote, which must be on disk before a replica sends messages."""
 
     term: int = 0
     vote: str = ""
 
 
 class Message(Struct, frozen=True, kw_only=True, tag=True):
-    """The base of all messages between replicas."""
+    """The base class of all messages between replicas."""
 
     cluster: str
     sender: str
@@ -95,7 +95,7 @@
 
 
 class VoteRequest(Message):
-    """Ask for a vote; a `pre` request only asks whether a vote would be given."""
+    """Request a vote; with `pre`, ask whether the receiver would grant one."""
 
     pre: bool
     last_index: int
@@ -104,16 +104,16 @@
 
 
 class VoteReply(Message):
-    """Grant or refuse a vote."""
+    """Grant or deny a vote."""
 
     pre: bool
     granted: bool
 
 
 class Append(Message):
-    """Entries after (`previous_index`, `previous_term`); with none it is a heartbeat.
+    """Entries that follow (`previous_index`, `previous_term`); without entries, a heartbeat.
 
-    `read` is the newest round of leadership confirmation, which the reply carries back.
+    `read` is the number of the newest read confirmation round; the reply returns it.
     """
 
     previous_index: int
@@ -124,7 +124,7 @@
 
 
 class AppendReply(Message):
-    """Acknowledge synced entries up to `match`, or refuse with a `hint` where to retry."""
+    """Acknowledge synced entries up to `match`, or reject with `hint`, the index to retry from."""
 
     success: bool
     match: int
@@ -133,14 +133,14 @@
 
 
 class InstallSnapshot(Message):
-    """A whole snapshot, for a follower whose next entry has been compacted."""
+    """Send a snapshot to a follower whose next entry has been compacted."""
 
     snapshot: Snapshot
     read: int
 
 
 class TimeoutNow(Message):
-    """The leader hands over: the target starts an election at once."""
+    """Transfer leadership: the target starts an election immediately."""
 
 
 AnyMessage = VoteRequest | VoteReply | Append | AppendReply | InstallSnapshot | TimeoutNow
--- a/src/finchway/replication/_progress.py
+++ b/src/finchway/replication/_progress.py
@@ -1,10 +1,14 @@
-"""What the leader knows of one follower."""
+"""The replication progress of a follower, tracked by the leader."""
 
 from __future__ import annotations
 
 
 class Progress:
-    """How far a follower has acknowledged, what to send next, and when it last answered."""
+    """Indexes and times of one follower.
+
+    `match` is the highest acknowledged index, `next` the next index to send, `read` the newest
+    confirmed read round. Times are in seconds.
+    """
 
     __slots__ = ("acked_at", "match", "next", "read", "sent_at", "snapshot_at")
 
@@ -17,12 +21,12 @@
         self.snapshot_at = float("-inf")
 
     def acknowledge(self, match: int, now: float) -> None:
-        """Note that the follower holds everything up to `match` on disk."""
+        """Record that the follower has synced all entries up to `match`."""
         self.match = max(self.match, match)
         self.next = max(self.next, self.match + 1)
         self.acked_at = now
 
-    def refuse(self, hint: int, now: float) -> None:
-        """Step back to where the follower says that its log may agree."""
+    def reject(self, hint: int, now: float) -> None:
+        """Move `next` back to the index that follows the follower's hint."""
         self.next = max(self.match + 1, min(self.next - 1, hint + 1))
         self.acked_at = now
--- a/src/finchway/replication/_ready.py
+++ b/src/finchway/replication/_ready.py
@@ -1,4 +1,4 @@
-"""What goes into the core of the log at its start, and what comes out for its shell."""
+"""Input and output types of the Raft core."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class Timing(Struct, frozen=True):
-    """Times of the log in seconds; an election starts after one to two `election` times."""
+    """Timeouts in seconds, and the maximum number of entries per message as `batch`.
+
+    An election starts after a random time of one to two times `election`.
+    """
 
     heartbeat: float = 0.1
     election: float = 1.0
@@ -19,7 +22,7 @@
 
 
 class RoleName(Enum):
-    """What a replica is at the moment."""
+    """The Raft role of a replica."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -27,7 +30,7 @@
 
 
 class Restored(Struct, frozen=True):
-    """What storage gave back at start."""
+    """The state that storage has read at start."""
 
     hard_state: m.HardState = m.HardState()
     snapshot: m.Snapshot = m.Snapshot(0, 0, m.Members(), b"")
@@ -35,7 +38,7 @@
 
 
 class Ready(Struct):
-    """Work for the shell, to be done in the order of the fields."""
+    """Work for the driver of the core, to be done in the order of the fields."""
 
     hard_state: m.HardState | None
     snapshot: m.Snapshot | None
@@ -47,5 +50,5 @@
 
     @property
     def must_sync(self) -> bool:
-        """Whether anything has to be on disk before the messages go out."""
+        """Whether data has to be synced before the messages are sent."""
         return self.hard_state is not None or self.snapshot is not None or bool(self.entries)
--- a/tests/raft.py
+++ b/tests/raft.py
@@ -1,6 +1,6 @@
-"""A cluster of cores on virtual time with real files, under a network that misbehaves.
+"""A simulated Raft cluster with virtual time, real files and fault injection.
 
-Everything random comes from one seed. A replica's crash loses whatever it had not synced.
+All randomness derives from one seed. A crashed replica restarts from its files.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 )
 
 STEP_S = 0.02
-CLUSTER = "test"
+CLUSTER_ID = "test"
 
 
 class CrashError(Exception):
-    """The replica's process ends at this call."""
+    """Simulates a crash of the replica's process."""
 
 
 class FaultyFiles(Files):
-    """Files that crash the process at a chosen step, or lose writes that were not synced."""
+    """File operations that crash the process at a given step, with a torn write if set."""
 
     def __init__(self) -> None:
         self.steps = 0
@@ -63,7 +63,7 @@
 
 
 class Node:
-    """One replica: its core, its storage and what it applied."""
+    """One replica: its core, its storage and its applied commands."""
 
     def __init__(self, member: Member, folder: Path) -> None:
         self.member = member
@@ -80,7 +80,7 @@
 
 
 class Cluster:
-    """Replicas and the messages between them."""
+    """The replicas, the network between them, and the checks of safety."""
 
     core_type = Core
     storage_type = Storage
@@ -95,11 +95,11 @@
         self.loss = 0.0
         self.duplicates = 0.0
         self.delay = (0.001, 0.01)
-        self.leaders: dict[int, str] = {}
+        self.leader_by_term: dict[int, str] = {}
         self.accepted: dict[int, bytes] = {}
         self.proposed = 0
         self.reads: list[tuple[int, int]] = []
-        self.read_floor: dict[int, int] = {}
+        self.min_read_index: dict[int, int] = {}
         self.finished_reads: list[tuple[int, int]] = []
         members = tuple(Member(f"r{i}", "1", f"10.0.0.{i}:1") for i in range(1, size + 1))
         for member in members:
@@ -112,26 +112,26 @@
             self.start(node)
 
     def start(self, node: Node) -> None:
-        """Start a replica from its files."""
+        """Start a replica from its stored state."""
         node.files = FaultyFiles()
         node.storage = self.storage_type(node.folder, node.files)
         restored = node.storage.open()
-        self.boot(node, restored)
+        self.start_core(node, restored)
 
-    def boot(self, node: Node, restored: Restored) -> None:
+    def start_core(self, node: Node, restored: Restored) -> None:
         rng = random.Random(self.rng.random())
-        node.core = self.core_type(node.member.id, CLUSTER, restored, rng, Timing(), self.now)
+        node.core = self.core_type(node.member.id, CLUSTER_ID, restored, rng, Timing(), self.now)
         node.base = restored.snapshot.data
         node.applied = _decode(restored.snapshot.data)
 
     def crash(self, node: Node) -> None:
-        """End a replica's process."""
+        """Crash a replica."""
         node.core = None
         if node.storage is not None:
             node.storage.close()
 
     def wipe(self, node: Node, incarnation: str) -> Node:
-        """Bring a replica back under the same name with an empty disk."""
+        """Restart a replica under the same name with an empty disk."""
         if node.is_up:
             self.crash(node)
         shutil.rmtree(node.folder)
@@ -143,12 +143,12 @@
         return fresh
 
     def leader(self) -> Node | None:
-        """Return the leader of the highest term."""
+        """Return the leader of the highest term, or None."""
         leading = [n for n in self.nodes.values() if n.is_up and n.core.is_leader]
         return max(leading, key=lambda n: n.core.term, default=None)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
@@ -156,14 +156,14 @@
             for node in list(self.nodes.values()):
                 if node.is_up:
                     node.core.tick(self.now)
-                    self.pump(node)
+                    self.process_ready(node)
             self.check_election_safety()
 
     def run_until(self, condition, limit: float = 30.0) -> None:
-        """Let time pass until something holds."""
+        """Advance the virtual time until `condition` is true."""
         end = self.now + limit
         while not condition():
-            assert self.now < end, "the condition did not come true in time"
+            assert self.now < end, "the condition was not met in time"
             self.run(STEP_S)
 
     def deliver(self) -> None:
@@ -174,10 +174,10 @@
             node = self.nodes.get(message.target)
             if node is not None and node.is_up:
                 node.core.step(message, self.now)
-                self.pump(node)
+                self.process_ready(node)
 
-    def pump(self, node: Node) -> None:
-        """Do what the core asks for, in the order that it must be done in."""
+    def process_ready(self, node: Node) -> None:
+        """Carry out the pending work of a core in the required order."""
         for _ in range(10):
             if not node.is_up or not node.core.has_work:
                 return
@@ -210,11 +210,11 @@
     def apply(self, node: Node, entry: Entry) -> None:
         if entry.kind is EntryKind.COMMAND:
             node.applied.append((entry.index, entry.data))
-        held = self.accepted.setdefault(entry.index, entry.data)
-        assert held == entry.data, f"two different entries were applied at {entry.index}"
+        existing = self.accepted.setdefault(entry.index, entry.data)
+        assert existing == entry.data, f"two different entries were applied at {entry.index}"
 
     def propose(self) -> bool:
-        """Propose one command at the leader, if there is one."""
+        """Propose one command to the leader; returns False if there is none."""
         node = self.leader()
         if node is None:
             return False
@@ -223,23 +223,23 @@
             node.core.propose(f"command{self.proposed}".encode())
         except NotLeaderError:
             return False
-        self.pump(node)
+        self.process_ready(node)
         return True
 
     def read(self) -> bool:
-        """Ask for a confirmed read at every replica that believes that it leads."""
-        asked = False
+        """Start a read at each replica that considers itself the leader."""
+        started = False
         for node in self.nodes.values():
             if node.is_up and node.core.is_leader:
-                token = len(self.read_floor) + 1
-                self.read_floor[token] = self.highest_applied()
+                token = len(self.min_read_index) + 1
+                self.min_read_index[token] = self.highest_applied()
                 node.core.read(token)
-                self.pump(node)
-                asked = True
-        return asked
+                self.process_ready(node)
+                started = True
+        return started
 
     def compact(self, node: Node) -> None:
-        """Take a snapshot of what a replica has applied."""
+        """Save a snapshot of the commands that a replica has applied, and compact its log."""
         core = node.core
         index = core._applied
         if index <= core.snapshot_index:
@@ -256,11 +256,11 @@
     def highest_applied(self) -> int:
         return max(self.accepted, default=0)
 
-    def cut(self, one: str, other: str, both: bool = True) -> None:
-        """Lose all messages from one replica to another, in silence."""
-        self.cuts.add((one, other))
+    def cut(self, source: str, target: str, both: bool = True) -> None:
+        """Drop all messages from one replica to another."""
+        self.cuts.add((source, target))
         if both:
-            self.cuts.add((other, one))
+            self.cuts.add((target, source))
 
     def isolate(self, replica: str, both: bool = True) -> None:
         for other in self.nodes:
@@ -270,23 +270,25 @@
     def check_election_safety(self) -> None:
         for node in self.nodes.values():
             if node.is_up and node.core.is_leader:
-                first = self.leaders.setdefault(node.core.term, node.member.id)
+                first = self.leader_by_term.setdefault(node.core.term, node.member.id)
                 assert first == node.member.id, f"two leaders in term {node.core.term}"
 
     def check(self) -> None:
-        """Check that nothing accepted was lost or reverted anywhere, and reads were not stale."""
+        """Check that no applied command was lost or reordered, and that no read was stale."""
         longest = max((n.applied for n in self.nodes.values()), key=len)
         for node in self.nodes.values():
-            assert node.applied == longest[: len(node.applied)], "replicas applied other commands"
+            assert (
+                node.applied == longest[: len(node.applied)]
+            ), "replicas applied different commands"
         expected = {i: d for i, d in self.accepted.items() if d.startswith(b"command")}
-        held = dict(longest)
-        lost = [i for i in expected if i not in held]
+        applied = dict(longest)
+        lost = [i for i in expected if i not in applied]
         assert not lost, f"accepted commands were lost: {lost}"
         for token, index in self.finished_reads:
-            assert index >= self.read_floor[token], "a read missed an accepted command"
+            assert index >= self.min_read_index[token], "a read missed an accepted command"
 
     def heal(self) -> None:
-        """End all faults, restart what is down, and wait until everyone has everything."""
+        """Stop all faults, restart crashed replicas and wait until all have converged."""
         self.cuts.clear()
         self.loss = self.duplicates = 0.0
         for node in self.nodes.values():
@@ -296,9 +298,9 @@
         self.run_until(lambda: self.leader() is not None)
         self.run(2.0)
         self.propose()
-        self.run_until(self.is_even)
+        self.run_until(self.has_converged)
 
-    def is_even(self) -> bool:
+    def has_converged(self) -> bool:
         up = [n for n in self.nodes.values() if n.is_up]
         return len({n.core.commit for n in up}) == 1 and len({len(n.applied) for n in up}) == 1
 
--- a/tests/unit/test_replication.py
+++ b/tests/unit/test_replication.py
@@ -1,4 +1,4 @@
-"""The replicated log under drops, delays, duplicates, crashes and silent cuts."""
+"""Raft safety and liveness under message loss, delays, duplicates, crashes and partitions."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from finchway.replication import Core, Member, Members, Restored, RoleName, Snapshot
 from tests.raft import Cluster
 
-# Seconds by which the clock of a replica jumps when its machine wakes.
-SUSPENDED_S = 5.0
+# Seconds by which the clock of a replica jumps when its machine resumes from suspension.
+CLOCK_JUMP_S = 5.0
 FAULTS = ("crash", "torn", "cut", "one-way", "loss", "heal-net", "restart", "compact", "read")
 
 
@@ -27,7 +27,7 @@
 
 
 def inject(cluster: Cluster, fault: str, target: int, step: int) -> None:
-    """Bring about one fault at one replica."""
+    """Inject one fault at one replica."""
     names = sorted(cluster.nodes)
     node = cluster.nodes[names[target % len(names)]]
     match fault:
@@ -67,8 +67,8 @@
 )
 
 
-def play(cluster: Cluster, script) -> None:
-    """Play a script of faults, with commands and reads between them; then heal and check."""
+def run_script(cluster: Cluster, script) -> None:
+    """Inject a sequence of faults, with commands and reads in between; then heal and check."""
     cluster.run(2.5)
     for fault, target, step, commands, pause in script:
         inject(cluster, fault, target, step)
@@ -84,9 +84,9 @@
     max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
 )
 @given(seed=st.integers(0, 10_000), size=st.sampled_from([3, 5]), script=SCRIPT)
-def test_nothing_accepted_is_lost(seed, size, script):
+def test_committed_entries_survive_random_faults(seed, size, script):
     with folder() as path:
-        play(Cluster(path, seed, size), script)
+        run_script(Cluster(path, seed, size), script)
 
 
 def test_single_replica_commits_alone(tmp_path):
@@ -97,13 +97,13 @@
     assert len(cluster.leader().applied) == 1
 
 
-def test_cut_off_leader_steps_down_and_its_entry_is_not_accepted(tmp_path):
+def test_isolated_leader_steps_down_and_its_entry_is_not_committed(tmp_path):
     cluster = Cluster(tmp_path, 2)
     cluster.run_until(lambda: cluster.leader() is not None)
     old = cluster.leader()
     cluster.isolate(old.member.id)
     old.core.propose(b"command-lost")
-    cluster.pump(old)
+    cluster.process_ready(old)
     cluster.run_until(lambda: not old.core.is_leader)
     cluster.run_until(lambda: cluster.leader() is not None)
     assert cluster.leader() is not old
@@ -112,8 +112,8 @@
     cluster.check()
 
 
-def test_one_way_cut_leader_is_replaced(tmp_path):
-    """The leader still hears the others but reaches nobody."""
+def test_leader_with_one_way_partition_is_replaced(tmp_path):
+    """The leader receives messages, but its own are lost."""
     cluster = Cluster(tmp_path, 3)
     cluster.run_until(lambda: cluster.leader() is not None)
     old = cluster.leader()
@@ -123,14 +123,14 @@
     cluster.check()
 
 
-def test_pre_vote_keeps_a_returning_replica_from_disturbing(tmp_path):
+def test_pre_vote_protects_the_leader_from_a_returning_replica(tmp_path):
     cluster = Cluster(tmp_path, 4)
     cluster.run_until(lambda: cluster.leader() is not None)
     cluster.run(1.0)
     leader = cluster.leader()
     term = leader.core.term
-    away = next(n for n in cluster.nodes.values() if n is not leader)
-    cluster.isolate(away.member.id)
+    isolated = next(n for n in cluster.nodes.values() if n is not leader)
+    cluster.isolate(isolated.member.id)
     cluster.run(10.0)
     cluster.cuts.clear()
     cluster.run(3.0)
@@ -138,7 +138,7 @@
     assert leader.core.term == term
 
 
-def test_leadership_is_handed_over(tmp_path):
+def test_leadership_transfer(tmp_path):
     cluster = Cluster(tmp_path, 5)
     cluster.run_until(lambda: cluster.leader() is not None)
     cluster.propose()
@@ -146,7 +146,7 @@
     old = cluster.leader()
     target = next(n for n in cluster.nodes.values() if n is not old)
     old.core.transfer(target.member.id)
-    cluster.pump(old)
+    cluster.process_ready(old)
     started = cluster.now
     cluster.run_until(lambda: target.core.is_leader, limit=2.0)
     assert cluster.now - started < 0.5
@@ -154,7 +154,7 @@
     cluster.check()
 
 
-def test_replica_changes_go_one_voter_at_a_time(tmp_path):
+def test_membership_changes_one_voter_at_a_time(tmp_path):
     cluster = Cluster(tmp_path, 6)
     cluster.run_until(lambda: cluster.leader() is not None)
     cluster.run(0.5)
@@ -168,8 +168,8 @@
         core.change_members(Members(core.members.voters[:1]))
 
 
-def repair(cluster: Cluster, fresh) -> None:
-    """Replace the earlier life of a replica by its new one, as the control role does."""
+def replace_replica(cluster: Cluster, fresh) -> None:
+    """Replace a replica's old incarnation by its new one, as the control role does."""
     plan = ReplicaPlan()
     plan.record_join(fresh.member)
 
@@ -180,7 +180,7 @@
             if wanted is not None:
                 try:
                     leader.core.change_members(wanted)
-                    cluster.pump(leader)
+                    cluster.process_ready(leader)
                 except ConflictError:
                     pass
         return leader is not None and leader.core.members.is_voter(fresh.member.id)
@@ -189,7 +189,7 @@
     cluster.run(1.0)
 
 
-def test_losing_another_replica_right_after_a_repair_loses_nothing(tmp_path):
+def test_crash_of_another_replica_after_a_replacement_loses_nothing(tmp_path):
     cluster = Cluster(tmp_path, 7)
     cluster.run_until(lambda: cluster.leader() is not None)
     for _ in range(20):
@@ -199,7 +199,7 @@
         cluster.compact(node)
     lost = next(n for n in cluster.nodes.values() if not n.core.is_leader)
     fresh = cluster.wipe(lost, "2")
-    repair(cluster, fresh)
+    replace_replica(cluster, fresh)
     survivors = [n for n in cluster.nodes.values() if n is not fresh]
     second = survivors[0]
     cluster.crash(second)
@@ -213,36 +213,36 @@
     cluster.check()
 
 
-def test_an_empty_replica_never_votes_under_its_old_identity(tmp_path):
-    """Two of three lose their disks: the third alone must not lose what was accepted."""
+def test_replica_with_lost_disk_does_not_vote_under_its_old_identity(tmp_path):
+    """With two of three disks lost, the remaining replica must keep the committed entries."""
     cluster = Cluster(tmp_path, 8)
     cluster.run_until(lambda: cluster.leader() is not None)
     for _ in range(5):
         cluster.propose()
     cluster.run(0.5)
-    keeper = cluster.leader()
-    for node in [n for n in cluster.nodes.values() if n is not keeper]:
+    survivor = cluster.leader()
+    for node in [n for n in cluster.nodes.values() if n is not survivor]:
         cluster.wipe(node, "2")
     cluster.run(10.0)
-    others = [n for n in cluster.nodes.values() if n is not keeper]
+    others = [n for n in cluster.nodes.values() if n is not survivor]
     assert all(n.core.role is RoleName.FOLLOWER for n in others)
     assert cluster.leader() is None, "an empty replica helped to elect a leader"
-    assert len(keeper.applied) == 5
+    assert len(survivor.applied) == 5
 
 
-# The checks bite: each planted fault below must make them fail.
+# Mutation tests: each injected fault below must make the checks fail.
 
 
-class EarlyAck(Cluster):
-    """Sync order: acknowledges before anything is written."""
+class AcknowledgesBeforeSync(Cluster):
+    """Violates the sync order: acknowledges entries before they are written."""
 
     def save(self, node, ready):
         if self.rng.random() < 0.5:
             super().save(node, ready)
 
 
-class ForgetsVote(Cluster):
-    """Vote persistence: term and vote are not stored."""
+class LosesVote(Cluster):
+    """Violates vote persistence: does not store term and vote."""
 
     def save(self, node, ready):
         ready.hard_state = None
@@ -250,7 +250,7 @@
 
 
 class CommitsEarlierTerms(Core):
-    """Commit rule: counts copies of entries of earlier terms."""
+    """Violates the commit rule: commits entries of earlier terms by counting replicas."""
 
     def _advance_commit(self):
         voters = [member.id for member in self._members.voters]
@@ -264,14 +264,14 @@
             self._commit = candidate
 
 
-class ReadsAlone(Core):
-    """Quorum read: a leader answers reads without asking anybody."""
+class ReadsWithoutQuorum(Core):
+    """Violates read confirmation: a leader answers reads without contacting a quorum."""
 
     def read(self, token):
         self._ready_reads.append((token, self._commit))
 
 
-def test_planted_fault_in_sync_order_is_found(tmp_path):
+def test_injected_fault_in_sync_order_is_detected(tmp_path):
     def lose_acknowledged(cluster: Cluster) -> None:
         cluster.run_until(lambda: cluster.leader() is not None)
         for _ in range(6):
@@ -284,20 +284,20 @@
 
     lose_acknowledged(Cluster(tmp_path / "sound", 1))
     with pytest.raises(Exception):  # noqa: B017
-        lose_acknowledged(EarlyAck(tmp_path / "faulty", 1))
+        lose_acknowledged(AcknowledgesBeforeSync(tmp_path / "faulty", 1))
 
 
-def test_planted_fault_in_vote_persistence_is_found(tmp_path):
+def test_injected_fault_in_vote_persistence_is_detected(tmp_path):
     def vote_twice(cluster: Cluster) -> None:
-        """One voter grants a vote, restarts, and is asked by another candidate of that term."""
+        """A voter grants a vote, restarts, and receives a request of another candidate."""
         names = sorted(cluster.nodes)
         voter = cluster.nodes[names[2]]
         granted = []
         for candidate in names[:2]:
             core = cluster.nodes[candidate].core
             core._campaign(pre=False)
-            asked = [m for m in core.take().messages if m.target == voter.member.id]
-            voter.core.step(asked[0], cluster.now)
+            requests = [m for m in core.take().messages if m.target == voter.member.id]
+            voter.core.step(requests[0], cluster.now)
             ready = voter.core.take()
             cluster.save(voter, ready)
             granted += [m.granted for m in ready.messages]
@@ -307,10 +307,10 @@
 
     vote_twice(Cluster(tmp_path / "sound", 1))
     with pytest.raises(AssertionError, match="one term"):
-        vote_twice(ForgetsVote(tmp_path / "faulty", 1))
+        vote_twice(LosesVote(tmp_path / "faulty", 1))
 
 
-def test_planted_fault_in_commit_of_earlier_terms_is_found(tmp_path):
+def test_injected_fault_in_commit_rule_is_detected(tmp_path):
     sound = Cluster(tmp_path / "sound", 3, 3)
     commit_old_term(sound)
     faulty = type("Faulty", (Cluster,), {"core_type": CommitsEarlierTerms})
@@ -319,14 +319,14 @@
 
 
 def commit_old_term(cluster: Cluster) -> None:
-    """A new leader must not commit an old entry before one of its own term has a majority."""
+    """A new leader must not commit an earlier entry before one of its own term."""
     cluster.run_until(lambda: cluster.leader() is not None)
     cluster.run(0.5)
     first = cluster.leader()
     near, far = [n for n in cluster.nodes.values() if n is not first]
     cluster.isolate(first.member.id)
     first.core.propose(b"command-old")
-    cluster.pump(first)
+    cluster.process_ready(first)
     cluster.crash(first)
     cluster.start(first)
     core = first.core
@@ -341,13 +341,13 @@
     assert core.commit < own - 1, "an entry of an earlier term was committed by counting copies"
 
 
-def test_planted_fault_in_quorum_reads_is_found(tmp_path):
+def test_injected_fault_in_read_confirmation_is_detected(tmp_path):
     def read_at_deposed_leader(cluster: Cluster) -> None:
         cluster.run_until(lambda: cluster.leader() is not None)
         cluster.run(0.5)
         old = cluster.leader()
         cluster.isolate(old.member.id)
-        # The old leader has not noticed yet that others go on without it.
+        # Keeps the old leader from stepping down for lack of a quorum.
         old.core._timing = type(old.core._timing)(election=60.0)
         cluster.run_until(lambda: cluster.leader() is not old)
         cluster.propose()
@@ -357,13 +357,13 @@
         cluster.check()
 
     read_at_deposed_leader(Cluster(tmp_path / "sound", 9))
-    faulty = type("Faulty", (Cluster,), {"core_type": ReadsAlone})
+    faulty = type("Faulty", (Cluster,), {"core_type": ReadsWithoutQuorum})
     with pytest.raises(AssertionError, match="a read missed"):
         read_at_deposed_leader(faulty(tmp_path / "faulty", 9))
 
 
-def test_planted_fault_in_incarnation_is_found(tmp_path):
-    """A replica that came back empty under its old identity would forget what it acknowledged."""
+def test_injected_fault_in_incarnation_is_detected(tmp_path):
+    """A replica that lost its disk must not rejoin under its old identity."""
 
     def lose_a_disk(cluster: Cluster, incarnation: str) -> None:
         cluster.run_until(lambda: cluster.leader() is not None)
@@ -380,7 +380,7 @@
         if incarnation == near.member.incarnation:
             empty = Snapshot(1, 1, members, b"")
             fresh.storage.snapshot(empty)
-            cluster.boot(fresh, Restored(snapshot=empty))
+            cluster.start_core(fresh, Restored(snapshot=empty))
         cluster.cuts.clear()
         cluster.run(8.0)
         assert cluster.leader() is None, "a majority without the accepted commands was formed"
@@ -391,9 +391,8 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_after_a_restart_of_all_a_leader_is_there_before_an_election_time_is_over(seed):
-    # Brazos trouble-2: all processes were up again at 33.7 s and nobody led until 34.5 s; gateways
-    # refused everything meanwhile.
+def test_leader_is_elected_within_one_election_timeout_after_a_full_restart(seed):
+    """Guards against an interval without a leader when all replicas restart."""
     with folder() as path:
         cluster = Cluster(path, seed, 5)
         cluster.run_until(cluster.leader)
@@ -409,7 +408,7 @@
         cluster.check()
 
 
-def test_a_replica_that_returns_alone_does_not_disturb_the_leader():
+def test_restarted_replica_does_not_disrupt_the_leader():
     with folder() as path:
         cluster = Cluster(path, 3, 5)
         cluster.run_until(cluster.leader)
@@ -424,26 +423,26 @@
         assert leader.core.term == term
 
 
-def test_a_leader_that_was_suspended_leads_no_more_and_confirms_nothing_by_itself(tmp_path):
+def test_suspended_leader_steps_down_and_confirms_no_read(tmp_path):
     cluster = Cluster(tmp_path, 7)
     cluster.run_until(cluster.leader)
     cluster.run(1.0)
     leader = cluster.leader()
-    # Nothing from the others can reach it before it goes on.
+    # No message of the others is delivered before the leader resumes.
     cluster.isolate(leader.member.id)
     leader.core.read(99)
-    cluster.pump(leader)
+    cluster.process_ready(leader)
     assert 99 not in [token for token, _ in cluster.finished_reads]
-    leader.core.tick(cluster.now + SUSPENDED_S)
+    leader.core.tick(cluster.now + CLOCK_JUMP_S)
     assert not leader.core.is_leader
     assert 99 not in [token for token, _ in cluster.finished_reads]
 
 
-def test_a_follower_that_was_suspended_has_not_heard_the_leader_lately(tmp_path):
+def test_suspended_follower_has_no_recent_leader_contact(tmp_path):
     cluster = Cluster(tmp_path, 8)
     cluster.run_until(cluster.leader)
     cluster.run(1.0)
     follower = next(n for n in cluster.nodes.values() if not n.core.is_leader)
     assert follower.core.heard_leader_within(1.5)
-    follower.core.tick(cluster.now + SUSPENDED_S)
+    follower.core.tick(cluster.now + CLOCK_JUMP_S)
     assert not follower.core.heard_leader_within(1.5)
--- a/tests/unit/test_storage.py
+++ b/tests/unit/test_storage.py
@@ -1,4 +1,4 @@
-"""Storage: a torn tail is cut, damage elsewhere is never skipped, failures stop the replica."""
+"""Storage: torn tails are truncated, other corruption and failed writes raise an error."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 MEMBERS = Members((Member("a", "1"),))
 
 
-def ready(*indexes: int, term: int = 1, vote: str = "", truncate: int | None = None) -> Ready:
+def make_ready(*indexes: int, term: int = 1, vote: str = "", truncate: int | None = None) -> Ready:
     entries = [Entry(term, i, EntryKind.COMMAND, b"x%d" % i) for i in indexes]
     return Ready(HardState(term, vote), None, truncate, entries, [], [], [])
 
 
-def opened(folder, files: Files | None = None) -> Storage:
+def open_storage(folder, files: Files | None = None) -> Storage:
     storage = Storage(folder, files)
     storage.open()
     return storage
 
 
-def indexes(folder) -> list[int]:
+def stored_indexes(folder) -> list[int]:
     return [entry.index for entry in Storage(folder).open().entries]
 
 
@@ -46,40 +46,40 @@
     return next(folder.glob("log-*.wal"))
 
 
-def test_what_was_saved_comes_back(tmp_path):
-    storage = opened(tmp_path)
-    storage.save(ready(1, 2, vote="a@1"))
-    storage.save(ready(2, 3, term=2, truncate=2))
+def test_saved_state_is_restored(tmp_path):
+    storage = open_storage(tmp_path)
+    storage.save(make_ready(1, 2, vote="a@1"))
+    storage.save(make_ready(2, 3, term=2, truncate=2))
     restored = Storage(tmp_path).open()
     assert [(e.term, e.index) for e in restored.entries] == [(1, 1), (2, 2), (2, 3)]
     assert restored.hard_state == HardState(2, "")
 
 
 @pytest.mark.parametrize("lost", [1, 5, 20])
-def test_a_torn_tail_is_cut(tmp_path, lost):
-    opened(tmp_path).save(ready(1, 2))
-    storage = opened(tmp_path)
-    storage.save(ready(3))
+def test_torn_tail_is_truncated(tmp_path, lost):
+    open_storage(tmp_path).save(make_ready(1, 2))
+    storage = open_storage(tmp_path)
+    storage.save(make_ready(3))
     path = log_file(tmp_path)
     path.write_bytes(path.read_bytes()[:-lost])
-    assert indexes(tmp_path) == [1, 2]
-    opened(tmp_path).save(ready(3, 4))
-    assert indexes(tmp_path) == [1, 2, 3, 4]
+    assert stored_indexes(tmp_path) == [1, 2]
+    open_storage(tmp_path).save(make_ready(3, 4))
+    assert stored_indexes(tmp_path) == [1, 2, 3, 4]
 
 
-def test_a_tail_of_zeros_is_cut(tmp_path):
-    opened(tmp_path).save(ready(1))
+def test_tail_of_zeros_is_truncated(tmp_path):
+    open_storage(tmp_path).save(make_ready(1))
     path = log_file(tmp_path)
     path.write_bytes(path.read_bytes() + bytes(100))
-    assert indexes(tmp_path) == [1]
+    assert stored_indexes(tmp_path) == [1]
 
 
-def test_damage_before_sound_records_is_never_skipped(tmp_path):
-    storage = opened(tmp_path)
-    storage.save(ready(1))
+def test_corruption_before_valid_records_raises(tmp_path):
+    storage = open_storage(tmp_path)
+    storage.save(make_ready(1))
     size = log_file(tmp_path).stat().st_size
-    storage.save(ready(2))
-    storage.save(ready(3))
+    storage.save(make_ready(2))
+    storage.save(make_ready(3))
     path = log_file(tmp_path)
     data = bytearray(path.read_bytes())
     data[size + 30] ^= 0xFF
@@ -88,9 +88,9 @@
         Storage(tmp_path).open()
 
 
-def test_a_damaged_snapshot_is_never_used(tmp_path):
-    storage = opened(tmp_path)
-    storage.save(ready(1, 2))
+def test_corrupt_snapshot_raises(tmp_path):
+    storage = open_storage(tmp_path)
+    storage.save(make_ready(1, 2))
     storage.snapshot(Snapshot(2, 1, MEMBERS, b"state"))
     path = next(tmp_path.glob("snapshot-*.snap"))
     data = bytearray(path.read_bytes())
@@ -102,14 +102,14 @@
 
 @pytest.mark.parametrize("step", range(1, 12))
 @pytest.mark.parametrize("torn", [False, True])
-def test_a_crash_at_any_step_of_a_snapshot_loses_nothing(tmp_path, step, torn):
+def test_crash_during_a_snapshot_loses_nothing(tmp_path, step, torn):
     files = FaultyFiles()
-    storage = opened(tmp_path, files)
-    storage.save(ready(1, 2, 3))
+    storage = open_storage(tmp_path, files)
+    storage.save(make_ready(1, 2, 3))
     files.crash_at, files.torn = files.steps + step, torn
     try:
         storage.snapshot(Snapshot(2, 1, MEMBERS, b"state"))
-        storage.save(ready(4))
+        storage.save(make_ready(4))
         expected = 4
     except CrashError:
         expected = 3
@@ -120,7 +120,7 @@
 
 
 class FullDisk(Files):
-    """A disk that is full from some write on."""
+    """File operations that fail while `full` or `sync_fails` is set."""
 
     def __init__(self) -> None:
         self.full = False
@@ -138,27 +138,27 @@
 
 
 @pytest.mark.parametrize("fault", ["full", "sync_fails"])
-def test_a_failing_disk_stops_the_replica_for_good(tmp_path, fault):
+def test_storage_stays_failed_after_a_disk_error(tmp_path, fault):
     files = FullDisk()
-    storage = opened(tmp_path, files)
-    storage.save(ready(1))
+    storage = open_storage(tmp_path, files)
+    storage.save(make_ready(1))
     setattr(files, fault, True)
     with pytest.raises(StorageError, match=str(tmp_path)):
-        storage.save(ready(2))
+        storage.save(make_ready(2))
     setattr(files, fault, False)
     with pytest.raises(StorageError, match="must be restarted"):
-        storage.save(ready(2))
+        storage.save(make_ready(2))
     with pytest.raises(StorageError, match="must be restarted"):
         storage.snapshot(Snapshot(1, 1, MEMBERS, b""))
 
 
-def test_an_empty_folder_never_starts_a_cluster_by_itself(tmp_path):
+def test_empty_folder_does_not_bootstrap_a_cluster(tmp_path):
     with pytest.raises(NotBootstrappedError) as caught:
         require_identity(tmp_path / "none", "c1")
     assert "finchway bootstrap" in caught.value.hint
 
 
-def test_an_identity_belongs_to_one_name_and_one_life(tmp_path):
+def test_identity_belongs_to_one_name_and_one_incarnation(tmp_path):
     first = create_identity(tmp_path / "data", "c1", "cluster")
     assert load_identity(tmp_path / "data", "c1") == first
     with pytest.raises(StorageError, match="belongs to replica 'c1'"):
@@ -169,7 +169,7 @@
     assert second.incarnation != first.incarnation
 
 
-def test_a_damaged_identity_is_reported(tmp_path):
+def test_corrupt_identity_raises(tmp_path):
     create_identity(tmp_path, "c1", "cluster")
     (tmp_path / "identity.json").write_text("{")
     with pytest.raises(StorageDamagedError):
