--- a/src/finchway/state/__init__.py
+++ b/src/finchway/state/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: what the log's commands do."""
+"""The replicated state machine and the commands that it applies."""
 
 from finchway.state._claims import Claim, Claims, key_time_ms
 from finchway.state._commands import (
--- a/src/finchway/state/_claims.py
+++ b/src/finchway/state/_claims.py
@@ -1,7 +1,7 @@
-"""Claims on idempotency keys: at most one attempt per key ever dispatches.
+"""Claims on idempotency keys: at most one attempt per key is dispatched.
 
-Keys that are UUIDv7 carry their time of creation. Once a record has been forgotten, an old key of
-that form is refused safely, because its own time says that it may have been used before.
+A UUIDv7 key contains its creation time. A key of that form which is older than its retention is
+refused, since an earlier record of it may have expired.
 """
 
 from __future__ import annotations
@@ -13,11 +13,15 @@
 from finchway.state._commands import Claimed, ClaimKey, ClaimState, SettleClaim
 
 CLOCK_TOLERANCE_MS = 300_000
-TOMBSTONE_MS = 3_600_000
+TOMBSTONE_RETENTION_MS = 3_600_000
 
 
 class Claim(Struct):
-    """The record of a key. `digest` covers the request, `expires_ms` is when it is forgotten."""
+    """The record of a key.
+
+    `digest` identifies the request, `attempt` and `holder` the attempt that owns the claim and the
+    entry that made it.
+    """
 
     state: ClaimState
     digest: str
@@ -29,7 +33,7 @@
 
 
 def key_time_ms(key: str) -> int | None:
-    """Return when a UUIDv7 key was made, in Unix milliseconds; None for other keys."""
+    """Return the creation time of a UUIDv7 key in Unix milliseconds, None for other keys."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
@@ -50,55 +54,54 @@
 
     @property
     def records(self) -> dict[str, Claim]:
-        """The records by their joined name, for snapshots."""
+        """The records by service, organisation and key, joined by newlines, for snapshots."""
         return self._claims
 
     def claim(self, command: ClaimKey, now_ms: int) -> Claimed:
-        """Grant the key to this attempt, or tell how it stands."""
-        name = _name(command)
-        held = self._claims.get(name)
-        if held is None:
-            if _too_old(command, now_ms):
+        """Grant the key to the attempt, or return the state of the existing claim."""
+        key = _record_key(command)
+        record = self._claims.get(key)
+        if record is None:
+            if _may_have_expired(command, now_ms):
                 return Claimed(False, ClaimState.UNKNOWN, "", expired=True)
-            return self._grant(name, command, now_ms)
-        if held.state is ClaimState.RELEASED:
-            if held.attempt == command.attempt:
-                return Claimed(False, held.state, held.attempt)
-            return self._grant(name, command, now_ms)
-        if held.digest != command.digest:
-            return Claimed(False, held.state, held.attempt, mismatch=True)
-        granted = held.state is ClaimState.CLAIMED and held.attempt == command.attempt
-        return Claimed(granted, held.state, held.attempt, held.answer)
+            return self._grant(key, command, now_ms)
+        if record.state is ClaimState.RELEASED:
+            if record.attempt == command.attempt:
+                return Claimed(False, record.state, record.attempt)
+            return self._grant(key, command, now_ms)
+        if record.digest != command.digest:
+            return Claimed(False, record.state, record.attempt, mismatch=True)
+        granted = record.state is ClaimState.CLAIMED and record.attempt == command.attempt
+        return Claimed(granted, record.state, record.attempt, record.answer)
 
     def settle(self, command: SettleClaim, now_ms: int) -> Claimed:
-        """Record how the attempt ended; only the attempt that holds the claim can say so.
+        """Record the outcome of the attempt that holds the claim; ignores other attempts.
 
-        An attempt given up as unknown may still turn out to be done; it is never released. A
-        release that arrives before its own claim leaves a record, so that the late claim of that
-        attempt is not granted.
+        A claim in state UNKNOWN may still become DONE, but is never released. A release that
+        arrives before its claim leaves a tombstone, so the delayed claim is not granted.
         """
-        held = self._claims.get(_name(command))
-        if held is None and command.outcome is ClaimState.RELEASED:
-            held = self._claims[_name(command)] = Claim(
+        record = self._claims.get(_record_key(command))
+        if record is None and command.outcome is ClaimState.RELEASED:
+            record = self._claims[_record_key(command)] = Claim(
                 ClaimState.RELEASED,
                 "",
                 command.attempt,
                 "",
-                now_ms + TOMBSTONE_MS,
-                TOMBSTONE_MS / 1000,
+                now_ms + TOMBSTONE_RETENTION_MS,
+                TOMBSTONE_RETENTION_MS / 1000,
             )
-        if held is None:
+        if record is None:
             return Claimed(False, ClaimState.UNKNOWN, "", expired=True)
-        if held.attempt != command.attempt:
-            return Claimed(False, held.state, held.attempt, held.answer)
-        if _may_become(held.state, command.outcome):
-            held.state = command.outcome
-            held.answer = command.answer
-            held.expires_ms = now_ms + int(held.retain_s * 1000)
-        return Claimed(held.state is command.outcome, held.state, held.attempt, held.answer)
+        if record.attempt != command.attempt:
+            return Claimed(False, record.state, record.attempt, record.answer)
+        if _is_valid_transition(record.state, command.outcome):
+            record.state = command.outcome
+            record.answer = command.answer
+            record.expires_ms = now_ms + int(record.retain_s * 1000)
+        return Claimed(record.state is command.outcome, record.state, record.attempt, record.answer)
 
     def abandon(self, holder: str) -> int:
-        """Mark the open claims of a holder that is gone as unknown; returns how many."""
+        """Mark the open claims of a terminated holder as unknown and return their number."""
         open_claims = [
             claim
             for claim in self._claims.values()
@@ -109,18 +112,18 @@
         return len(open_claims)
 
     def expire(self, now_ms: int) -> int:
-        """Forget records whose time is over; returns how many."""
-        old = [
-            name
-            for name, claim in self._claims.items()
+        """Delete the expired records, except open claims, and return their number."""
+        expired = [
+            key
+            for key, claim in self._claims.items()
             if claim.expires_ms <= now_ms and claim.state is not ClaimState.CLAIMED
         ]
-        for name in old:
-            del self._claims[name]
-        return len(old)
+        for key in expired:
+            del self._claims[key]
+        return len(expired)
 
-    def _grant(self, name: str, command: ClaimKey, now_ms: int) -> Claimed:
-        self._claims[name] = Claim(
+    def _grant(self, key: str, command: ClaimKey, now_ms: int) -> Claimed:
+        self._claims[key] = Claim(
             ClaimState.CLAIMED,
             command.digest,
             command.attempt,
@@ -131,17 +134,21 @@
         return Claimed(True, ClaimState.CLAIMED, command.attempt)
 
 
-def _name(command: ClaimKey | SettleClaim) -> str:
+def _record_key(command: ClaimKey | SettleClaim) -> str:
     return f"{command.service}\n{command.organisation}\n{command.key}"
 
 
-def _too_old(command: ClaimKey, now_ms: int) -> bool:
-    made = key_time_ms(command.key)
-    oldest = now_ms - int(command.retain_s * 1000) + CLOCK_TOLERANCE_MS
-    return made is not None and command.retain_s * 1000 > CLOCK_TOLERANCE_MS and made < oldest
+def _may_have_expired(command: ClaimKey, now_ms: int) -> bool:
+    created_ms = key_time_ms(command.key)
+    oldest_retained_ms = now_ms - int(command.retain_s * 1000) + CLOCK_TOLERANCE_MS
+    return (
+        created_ms is not None
+        and command.retain_s * 1000 > CLOCK_TOLERANCE_MS
+        and created_ms < oldest_retained_ms
+    )
 
 
-def _may_become(state: ClaimState, outcome: ClaimState) -> bool:
+def _is_valid_transition(state: ClaimState, outcome: ClaimState) -> bool:
     match state:
         case ClaimState.CLAIMED:
             return outcome is not ClaimState.CLAIMED
--- a/src/finchway/state/_commands.py
+++ b/src/finchway/state/_commands.py
@@ -1,7 +1,7 @@
-"""Commands of the replicated log, and what applying them answers.
+"""Commands of the replicated log, and the results of applying them.
 
-`now_ms` is the wall clock of the leader when it proposed the command. The state machine reads no
-clock of its own, so every replica reaches the same state.
+`now_ms` is the leader's wall clock at the time of the proposal. The state machine reads no clock,
+so all replicas reach the same state.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ClaimState(Enum):
-    """Where an idempotency key stands."""
+    """The state of a claim on an idempotency key."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -27,7 +27,7 @@
 
 
 class Command(Struct, frozen=True, kw_only=True, tag=True):
-    """The base of all commands."""
+    """The base class of all commands."""
 
     now_ms: int
 
@@ -35,8 +35,8 @@
 class PutResource(Command):
     """Create or replace a spec.
 
-    `expected` is the generation that the operator saw, 0 for a resource that must not exist yet,
-    None to write whatever is there. `change_id` makes a resend harmless.
+    `expected` is the generation that the resource must have, 0 if it must not exist, None to write
+    unconditionally. Retries with the same `change_id` are idempotent.
     """
 
     kind: str
@@ -48,7 +48,7 @@
 
 
 class DeleteResource(Command):
-    """Delete a resource; fields as for `PutResource`."""
+    """Delete a resource; the fields have the same meaning as in `PutResource`."""
 
     kind: str
     name: str
@@ -58,7 +58,7 @@
 
 
 class PutStatus(Command):
-    """Write the produced state of a resource, if its spec is still of this generation."""
+    """Write the status of a resource if its spec still has this generation."""
 
     kind: str
     name: str
@@ -67,7 +67,7 @@
 
 
 class ClaimKey(Command):
-    """Claim an idempotency key for one attempt, before the request is dispatched."""
+    """Claim an idempotency key for an attempt before the request is dispatched."""
 
     service: str
     organisation: str
@@ -79,7 +79,7 @@
 
 
 class SettleClaim(Command):
-    """Say how the attempt ended: with an answer, certainly not run, or unknown."""
+    """Record the outcome of an attempt: DONE with an answer, RELEASED if not run, or UNKNOWN."""
 
     service: str
     organisation: str
@@ -90,17 +90,20 @@
 
 
 class Expire(Command):
-    """Forget change ids and claims whose time is over."""
+    """Delete expired change ids and claims, and update suspect requests that are due."""
 
 
 class ChangeItems(Command):
-    """Set or drop items of the traffic catalog, as one unit."""
+    """Set or remove items of the traffic catalog atomically."""
 
     items: list[Item]
 
 
 class MarkUpstream(Command):
-    """Note that a life of an upstream leaves; `born` is 0 if it did not say which one."""
+    """Mark an incarnation of an upstream as leaving.
+
+    `born` identifies the incarnation; 0 if it is not known.
+    """
 
     instance: str
     kind: MarkKind
@@ -108,14 +111,14 @@
 
 
 class SetEvacuation(Command):
-    """Begin or end the evacuation of an availability zone."""
+    """Start or end the evacuation of an availability zone."""
 
     zone: str
     active: bool
 
 
 class ReportRequests(Command):
-    """Take in what gateways have seen of requests under which upstreams ended."""
+    """Record gateways' reports on requests that were in flight when upstreams crashed."""
 
     reports: list[RequestReport]
 
@@ -135,7 +138,7 @@
 
 
 class Accepted(Struct, frozen=True, tag=True):
-    """The change is accepted; `resource` is the encoded resource as it stands after it."""
+    """The change was accepted; `resource` is the encoded resource after the change."""
 
     revision: int
     generation: int
@@ -143,28 +146,33 @@
 
 
 class Conflict(Struct, frozen=True, tag=True):
-    """The expected generation is not the present one; `winner` is the resource that stands."""
+    """The expected generation is not the current one; `winner` is the encoded current resource."""
 
     generation: int
     winner: bytes
 
 
 class Rejected(Struct, frozen=True, tag=True):
-    """The change breaks a rule or refers to something that does not exist (any more)."""
+    """The change is invalid, or refers to a resource that does not exist."""
 
     findings: list[tuple[str, str]]
 
 
 class Missing(Struct, frozen=True, tag=True):
-    """The resource to delete or to write a status to does not exist."""
+    """The resource of a delete or status command does not exist."""
 
 
 class Reused(Struct, frozen=True, tag=True):
-    """The change id was used before for another change."""
+    """The change id was already used for a different change."""
 
 
 class Claimed(Struct, frozen=True, tag=True):
-    """How a key stands after the command; `granted` means this attempt may dispatch."""
+    """The claim on a key after the command.
+
+    `granted` means that the command took effect: for `ClaimKey`, that the attempt may dispatch.
+    `mismatch` means that the key was used for a different request, `expired` that the record of
+    the key is no longer retained.
+    """
 
     granted: bool
     state: ClaimState
@@ -175,17 +183,17 @@
 
 
 class Done(Struct, frozen=True, tag=True):
-    """The command had nothing more to tell."""
+    """The command was applied and has no further result."""
 
 
 class Steered(Struct, frozen=True, tag=True):
-    """The steering state covers the command as of this revision."""
+    """The steering state includes the command as of this revision."""
 
     revision: int
 
 
 class VersionTaken(Struct, frozen=True, tag=True):
-    """Items are held under the same version with other content; nothing was changed."""
+    """Items exist under the same version with different content; nothing was changed."""
 
     items: list[str]
 
@@ -199,10 +207,10 @@
 
 
 def encode_command(command: AnyCommand) -> bytes:
-    """Encode a command for the log."""
+    """Encode a command as msgpack for the log."""
     return _ENCODER.encode(command)
 
 
 def decode_command(data: bytes) -> AnyCommand:
-    """Decode a command from the log; raises `msgspec.MsgspecError` if it is malformed."""
+    """Decode a command from the log; raises `msgspec.MsgspecError` if it is invalid."""
     return _COMMAND_DECODER.decode(data)
--- a/src/finchway/state/_history.py
+++ b/src/finchway/state/_history.py
@@ -1,4 +1,4 @@
-"""The recent changes of the resources, for watches and for deltas to entries."""
+"""The recent changes of the resources, for watches and for incremental updates of entries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class History:
-    """A bounded run of changes in the order of their revisions, without gaps."""
+    """A bounded list of changes in the order of their revisions, without gaps."""
 
     __slots__ = ("_changes", "_compacted", "_limit")
 
@@ -24,23 +24,23 @@
 
     @property
     def changes(self) -> list[Change]:
-        """The changes that are held."""
+        """The retained changes, oldest first."""
         return self._changes
 
     @property
     def compacted(self) -> int:
-        """The newest revision that is no longer held."""
+        """The newest revision that is no longer retained."""
         return self._compacted
 
     def append(self, change: Change) -> None:
-        """Add a change, and let the oldest go in batches once there are too many."""
+        """Add a change; the oldest changes are dropped in batches above the limit."""
         self._changes.append(change)
         if len(self._changes) > self._limit + self._limit // 4:
             self._compacted = self._changes[-self._limit - 1].revision
             del self._changes[: -self._limit]
 
     def since(self, revision: int, limit: int | None = None) -> list[Change]:
-        """Return the changes after a revision, at most `limit`.
+        """Return the changes after `revision`, at most `limit` of them.
 
         Raises `GoneError` if some of them have been compacted.
         """
--- a/src/finchway/state/_machine.py
+++ b/src/finchway/state/_machine.py
@@ -1,6 +1,6 @@
-"""The state machine on the replicated log: resources, change answers, claims, history.
+"""The replicated state machine: resources, stored answers, claims, history and steering state.
 
-It is deterministic: the same commands give the same state and the same `digest` on each replica.
+It is deterministic: the same commands produce the same state and `digest` on each replica.
 
     machine = StateMachine()
     result = machine.apply(PutResource(now_ms=0, kind="region", name="north", spec=b"{}"))
@@ -35,7 +35,7 @@
 
 
 class _Image(Struct):
-    """The whole state, as it is stored in a snapshot."""
+    """The complete state in a snapshot."""
 
     resources: list[Change]
     revision: int
@@ -48,7 +48,7 @@
 
 
 class StateMachine:
-    """The replicated state."""
+    """The replicated state, changed only by committed commands."""
 
     def __init__(self) -> None:
         self._store = ResourceStore()
@@ -60,12 +60,12 @@
 
     @property
     def store(self) -> ResourceStore:
-        """The resources."""
+        """The resources and their revisions."""
         return self._store
 
     @property
     def history(self) -> History:
-        """The recent changes."""
+        """The recent resource changes."""
         return self._history
 
     @property
@@ -75,7 +75,7 @@
 
     @property
     def steering(self) -> Steering:
-        """The traffic catalog, evacuations and leaving upstreams."""
+        """The traffic catalog, evacuations, leaving upstreams and suspect requests."""
         return self._steering
 
     @property
@@ -84,13 +84,16 @@
         return self._store.revision
 
     def apply(self, command: c.AnyCommand) -> c.AnyResult:
-        """Apply one committed command. Time never runs backwards, whatever leaders' clocks say."""
+        """Apply one committed command.
+
+        The time of the state machine is monotonic, even if a new leader's clock is behind.
+        """
         self._now_ms = max(self._now_ms, command.now_ms)
         match command:
             case c.PutResource():
-                return self._once(command, self._put)
+                return self._apply_idempotent(command, self._put)
             case c.DeleteResource():
-                return self._once(command, self._delete)
+                return self._apply_idempotent(command, self._delete)
             case c.PutStatus():
                 return self._put_status(command)
             case c.ClaimKey():
@@ -112,11 +115,11 @@
         return c.Done()
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Encode the complete state."""
         return msgspec.msgpack.encode(self._image())
 
     def restore(self, data: bytes) -> None:
-        """Take over the state of a snapshot; empty data stands for the empty state."""
+        """Replace the state by that of a snapshot; empty data means the initial state."""
         if not data:
             self.__init__()
             return
@@ -129,7 +132,7 @@
         self._now_ms = image.now_ms
 
     def digest(self) -> str:
-        """Return a digest of the whole state, equal on replicas that applied the same log."""
+        """Return a digest of the complete state, equal on replicas that applied the same log."""
         encoder = msgspec.msgpack.Encoder(order="sorted")
         return hashlib.sha256(encoder.encode(self._image())).hexdigest()
 
@@ -146,60 +149,65 @@
             self._steering.image(),
         )
 
-    def _once(self, command, change) -> c.AnyResult:
+    def _apply_idempotent(self, command, change) -> c.AnyResult:
         stored = self._answers.find(command)
         if stored is not None:
             return stored.answer if stored.digest == digest_of(command) else c.Reused()
-        held = self._store.get(command.kind, command.name)
-        generation = held.generation if held else 0
+        current = self._store.get(command.kind, command.name)
+        generation = current.generation if current else 0
         if command.expected is not None and command.expected != generation:
-            return c.Conflict(generation, encode_resource(held))
-        result = change(command, held)
+            return c.Conflict(generation, encode_resource(current))
+        result = change(command, current)
         if isinstance(result, c.Accepted):
             self._answers.store(command, result, self._now_ms)
         return result
 
-    def _put(self, command: c.PutResource, held: Resource | None) -> c.AnyResult:
+    def _put(self, command: c.PutResource, current: Resource | None) -> c.AnyResult:
         try:
             spec = parse_spec(command.kind, msgspec.json.decode(command.spec))
         except ResourceError as error:
             return c.Rejected([(f.place, f.problem) for f in error.findings])
-        if held is not None and held.spec == spec:
-            return c.Accepted(held.revision, held.generation, encode_resource(held))
+        if current is not None and current.spec == spec:
+            return c.Accepted(current.revision, current.generation, encode_resource(current))
         findings = check_references(command.kind, command.name, spec, self._store)
         if findings:
             return c.Rejected([(f.place, f.problem) for f in findings])
-        generation = held.generation + 1 if held else 1
-        status = held.status if held else None
-        if held is not None and _ends_life(held.spec, spec):
-            self._abandon_claims(held)
+        generation = current.generation + 1 if current else 1
+        status = current.status if current else None
+        if current is not None and _ends_incarnation(current.spec, spec):
+            self._abandon_claims(current)
         resource = Resource(command.kind, command.name, spec, generation, self.revision + 1, status)
         return self._accept(resource, Operation.PUT)
 
-    def _delete(self, command: c.DeleteResource, held: Resource | None) -> c.AnyResult:
-        if held is None:
+    def _delete(self, command: c.DeleteResource, current: Resource | None) -> c.AnyResult:
+        if current is None:
             return c.Missing()
         findings = find_dependents(command.kind, command.name, self._store)
         if findings:
             return c.Rejected([(f.place, f.problem) for f in findings])
-        if isinstance(held.spec, Instance):
-            self._abandon_claims(held)
-        gone = msgspec.structs.replace(held, revision=self.revision + 1)
-        return self._accept(gone, Operation.DELETE)
+        if isinstance(current.spec, Instance):
+            self._abandon_claims(current)
+        deleted = msgspec.structs.replace(current, revision=self.revision + 1)
+        return self._accept(deleted, Operation.DELETE)
 
     def _abandon_claims(self, instance: Resource) -> None:
-        """Mark the open claims of one life of an entry as unknown, in the step that ends it."""
+        """Mark the open claims of an entry's incarnation as unknown.
+
+        Runs in the command that ends the incarnation, so both are replicated atomically.
+        """
         self._claims.abandon(f"{instance.name}@{instance.spec.incarnation}")
 
     def _put_status(self, command: c.PutStatus) -> c.AnyResult:
-        held = self._store.get(command.kind, command.name)
-        if held is None:
+        current = self._store.get(command.kind, command.name)
+        if current is None:
             return c.Missing()
-        if held.generation != command.generation:
-            return c.Conflict(held.generation, encode_resource(held))
-        if held.status == command.status:
+        if current.generation != command.generation:
+            return c.Conflict(current.generation, encode_resource(current))
+        if current.status == command.status:
             return c.Done()
-        resource = msgspec.structs.replace(held, status=command.status, revision=self.revision + 1)
+        resource = msgspec.structs.replace(
+            current, status=command.status, revision=self.revision + 1
+        )
         return self._accept(resource, Operation.PUT)
 
     def _accept(self, resource: Resource, operation: Operation) -> c.Accepted:
@@ -208,13 +216,13 @@
         return c.Accepted(resource.revision, resource.generation, encode_resource(resource))
 
 
-def _ends_life(held: Spec, spec: Spec) -> bool:
-    """Tell whether a spec says that the earlier life of an entry is over."""
-    if not isinstance(held, Instance) or not isinstance(spec, Instance):
+def _ends_incarnation(old: Spec, new: Spec) -> bool:
+    """Whether the new spec ends the incarnation of an entry in the old one."""
+    if not isinstance(old, Instance) or not isinstance(new, Instance):
         return False
-    return held.incarnation != spec.incarnation or spec.state is InstanceState.GONE
+    return old.incarnation != new.incarnation or new.state is InstanceState.GONE
 
 
 def encode_resource(resource: Resource | None) -> bytes:
-    """Encode a resource as JSON for answers; `null` where there is none."""
+    """Encode a resource as JSON for answers, `null` if there is none."""
     return msgspec.json.encode(resource)
--- a/src/finchway/state/_steering.py
+++ b/src/finchway/state/_steering.py
@@ -1,7 +1,7 @@
-"""The replicated state of steering: catalog, evacuated zones, leaving upstreams, suspect requests.
+"""The replicated steering state: catalog, evacuated zones, leaving upstreams, suspect requests.
 
-Each effective command takes the next revision, and everything carries the revision that brought
-it. So whoever is behind gets just what is newer, without a history.
+Each effective command increments the revision, and each record stores the revision that changed
+it. A copy that is behind receives only the newer records, so no change history is kept.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from finchway.state import _commands as c
 from finchway.state._suspects import Suspect, Suspects
 
-MARKS_KEPT = 20_000
+MAX_MARKS = 20_000
 
 
 class Evacuation(Struct, frozen=True, array_like=True):
-    """Whether a zone's upstreams get nothing new, and the revision that said so."""
+    """Whether a zone is evacuated, so that its upstreams get no new requests."""
 
     revision: int
     zone: str
@@ -25,7 +25,7 @@
 
 
 class SteeringImage(Struct, frozen=True, array_like=True):
-    """The whole state, or what is newer than some revision."""
+    """The complete steering state, or the records newer than some revision."""
 
     revision: int = 0
     items: list[HeldItem] = []
@@ -35,7 +35,7 @@
 
 
 class Steering:
-    """The steering state; deterministic."""
+    """The steering state. It is deterministic."""
 
     def __init__(self, image: SteeringImage | None = None) -> None:
         image = image or SteeringImage()
@@ -47,47 +47,47 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the newest effective command."""
+        """The revision of the last effective command."""
         return self._revision
 
     @property
     def catalog(self) -> Catalog:
-        """The items."""
+        """The items of the traffic catalog."""
         return self._catalog
 
     @property
     def marks(self) -> dict[str, Mark]:
-        """The marks by the lives that leave."""
+        """The marks of leaving upstreams by incarnation."""
         return self._marks
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """The zones that are evacuated."""
+        """The names of the evacuated zones."""
         return frozenset(e.zone for e in self._evacuations.values() if e.active)
 
     @property
     def suspects(self) -> Suspects:
-        """The requests under which upstreams have ended."""
+        """The requests that were in flight when upstreams crashed."""
         return self._suspects
 
     def evacuation(self, zone: str) -> Evacuation | None:
-        """Return the newest word on a zone."""
+        """Return the last evacuation record of a zone, or None."""
         return self._evacuations.get(zone)
 
     def image(self, since: int = -1) -> SteeringImage:
-        """Return everything that is newer than a revision, in a stable order."""
+        """Return all records newer than a revision, in a deterministic order."""
         if since >= self._revision:
             return SteeringImage(self._revision)
         return SteeringImage(
             self._revision,
             [held for held in self._catalog.held if held.revision > since],
-            sorted((m for m in self._marks.values() if m.revision > since), key=_order),
-            sorted((e for e in self._evacuations.values() if e.revision > since), key=_order),
+            sorted((m for m in self._marks.values() if m.revision > since), key=_revision_of),
+            sorted((e for e in self._evacuations.values() if e.revision > since), key=_revision_of),
             self._suspects.since(since),
         )
 
     def merge(self, image: SteeringImage) -> bool:
-        """Take in what is newer from an image of another copy; tell whether anything was."""
+        """Merge the image of another copy; returns False if it is not newer."""
         if image.revision <= self._revision:
             return False
         for held in image.items:
@@ -99,11 +99,11 @@
         for suspect in image.suspects:
             self._suspects.put(suspect)
         self._revision = image.revision
-        self._trim()
+        self._evict_oldest_marks()
         return True
 
     def change_items(self, command: c.ChangeItems) -> c.AnyResult:
-        """Apply a change as one unit: all of it is in force afterwards, or nothing."""
+        """Apply a change of the catalog atomically: all of its items, or none."""
         findings = self._catalog.check(command.items)
         if findings:
             return c.Rejected([(f.place, f.problem) for f in findings])
@@ -118,26 +118,26 @@
         return c.Steered(self._revision)
 
     def mark_of(self, registration: Registration) -> Mark | None:
-        """Return the mark that binds an upstream's present life, if there is one.
+        """Return the mark that applies to the registered incarnation of an upstream, or None.
 
-        It binds no other life of the id, unless it was not told which one leaves.
+        A mark applies only to the incarnation that it names, or to all of them if it names none.
         """
         return self._marks.get(registration.life) or self._marks.get(registration.instance)
 
     def mark_upstream(self, command: c.MarkUpstream) -> c.AnyResult:
-        """Mark a life as leaving; gone is never taken back to draining."""
+        """Mark an incarnation as leaving; GONE is never changed back to DRAINING."""
         mark = Mark(self._revision + 1, command.instance, command.kind, command.born)
-        held = self._marks.get(mark.life)
-        if held is None or (held.kind is MarkKind.DRAINING and command.kind is MarkKind.GONE):
+        current = self._marks.get(mark.life)
+        if current is None or (current.kind is MarkKind.DRAINING and command.kind is MarkKind.GONE):
             self._revision += 1
             self._marks[mark.life] = mark
-            self._trim()
+            self._evict_oldest_marks()
         return c.Steered(self._revision)
 
     def set_evacuation(self, command: c.SetEvacuation) -> c.AnyResult:
-        """Begin or end the evacuation of a zone."""
-        held = self._evacuations.get(command.zone)
-        if (held is not None and held.active) != command.active:
+        """Start or end the evacuation of a zone."""
+        current = self._evacuations.get(command.zone)
+        if (current is not None and current.active) != command.active:
             self._revision += 1
             self._evacuations[command.zone] = Evacuation(
                 self._revision, command.zone, command.active
@@ -145,22 +145,22 @@
         return c.Steered(self._revision)
 
     def report_requests(self, command: c.ReportRequests, now_ms: int) -> c.AnyResult:
-        """Take in what gateways have seen of requests under which upstreams ended."""
+        """Record gateways' reports on requests that were in flight when upstreams crashed."""
         for report in command.reports:
             self._revision += self._suspects.report(report, now_ms, self._revision + 1)
         return c.Steered(self._revision)
 
     def expire(self, now_ms: int) -> None:
-        """Let time pass for the suspect requests."""
+        """Update the suspect requests that are due."""
         self._revision += self._suspects.expire(now_ms, self._revision + 1)
 
-    def _trim(self) -> None:
-        """Forget the oldest marks: those lives are long over."""
-        if len(self._marks) <= MARKS_KEPT:
+    def _evict_oldest_marks(self) -> None:
+        """Evict the oldest marks above `MAX_MARKS`; those incarnations have terminated."""
+        if len(self._marks) <= MAX_MARKS:
             return
-        for mark in sorted(self._marks.values(), key=_order)[: len(self._marks) - MARKS_KEPT]:
+        for mark in sorted(self._marks.values(), key=_revision_of)[: len(self._marks) - MAX_MARKS]:
             del self._marks[mark.life]
 
 
-def _order(entry: Mark | Evacuation) -> int:
-    return entry.revision
+def _revision_of(record: Mark | Evacuation) -> int:
+    return record.revision
--- a/src/finchway/state/_suspects.py
+++ b/src/finchway/state/_suspects.py
@@ -1,12 +1,10 @@
-"""Requests under which upstreams have ended: the replicated table of suspects.
-
-A request is named by its digest, and an upstream that ended by the name of its life. Under a
-request that ends whatever runs it, upstream after upstream ends and none answers; one that only was
-under way when an upstream ended is answered by the next. So a suspect is a request under which
-upstreams have ended, one after the other, since it was last answered, whichever gateways saw that.
-An end counts if the request was sent when the ends before it were known: when many upstreams end at
-once, that is one end for all that was under way there. A request with several of them is
-quarantined: it is sent to no upstream until it is tried again, a long time later.
+"""The replicated table of suspects: requests that may crash the upstreams that handle them.
+
+Requests are identified by digest, upstreams by incarnation. A request that crashes upstreams is
+never answered, while one that was only in flight during a crash is answered by the next upstream.
+The table therefore counts consecutive crashes since the last answer, over all gateways. A crash
+counts if the request was sent after the earlier ones were known, so simultaneous crashes count
+once. A request that reaches the threshold is quarantined: it is not sent until the quarantine ends.
 """
 
 from __future__ import annotations
@@ -16,31 +14,28 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-# Upstreams that end under a request, one after the other, before it is quarantined. Two may be
-# chance, since an upstream that ends takes all requests with it that are under way there.
+# Consecutive crashes before a request is quarantined. Fewer may be coincidence, since a crash
+# affects all requests in flight at the upstream.
 QUARANTINE_AFTER = 3
-# Milliseconds for which an upstream that ended speaks against a request: callers that try again do
-# so within seconds.
-SUSPECTED_FOR_MS = 60_000
-# Milliseconds until a request is tried again, by how often it has been quarantined. Upstreams may
-# have been to blame, so the first wait is short; each trial may cost an upstream with all that is
-# under way there, while waiting costs one caller one request, so the later ones are long.
+# Time after which a suspicion lapses without a further crash.
+SUSPICION_MS = 60_000
+# Duration of the first, second, ... quarantine of a request. The first is short, in case the
+# upstreams were at fault. Later ones are long, since each trial may crash another upstream.
 QUARANTINED_FOR_MS = (60_000, 600_000, 3_600_000, 86_400_000)
-# Requests that are quarantined at once: if upstreams end under more, the upstreams are to blame.
-MOST_QUARANTINED = 32
-# Suspects that are held: 38 KB in the first answer to a gateway with one life each, and 135 KB with
-# eight (encoded sizes of 74 and 263 bytes).
-MOST_SUSPECTS = 512
-# Names of lives that are kept with a suspect, for those who look into it.
-LIVES_KEPT = 8
+# Maximum number of quarantined requests. With more, the upstreams themselves are likely at fault.
+MAX_QUARANTINED = 32
+# Limits the size of the table, which each gateway receives in full when it connects.
+MAX_SUSPECTS = 512
+# Upstream incarnations that are recorded with a suspect, for diagnosis.
+MAX_RECORDED_INCARNATIONS = 8
 
 
 class SuspectState(Enum):
-    """Where a request stands.
+    """The state of a request.
 
-    SUSPECTED: some upstreams have ended under it. QUARANTINED: it gets none. ON_TRIAL: it may be
-    sent again, and is quarantined again as soon as one more ends. CLEARED: nothing speaks against
-    it any more; kept for a while, so that all copies of the table learn of it.
+    SUSPECTED: upstreams have crashed while it was in flight. QUARANTINED: it is sent to no
+    upstream. ON_TRIAL: it may be sent again; one more crash quarantines it again. CLEARED: it is no
+    longer suspect; retained for a while so that all copies of the table are updated.
     """
 
     SUSPECTED = "suspected"
@@ -50,9 +45,10 @@
 
 
 class RequestReport(Struct, frozen=True, array_like=True):
-    """What a gateway has seen of a request: the life that ended under it, or that it was answered.
+    """A gateway's report that an upstream crashed with the request in flight, or answered it.
 
-    `ends` counts the upstreams that ended under it one after the other, this one included.
+    `ended` is the incarnation of the upstream that crashed, `ends` the number of consecutive
+    crashes including this one.
     """
 
     request: str
@@ -62,10 +58,10 @@
 
 
 class Suspect(Struct, frozen=True, array_like=True):
-    """A request, how many upstreams ended under it, and the revision that said so.
+    """A request, its number of consecutive crashes, and the revision of its last change.
 
-    `ended` names the newest of their lives. `until_ms` is when the state changes by itself, on the
-    log's clock; `quarantines` counts how often it was quarantined.
+    `ended` lists the last crashed incarnations. At `until_ms`, in the time of the state machine,
+    the state changes without a report. `quarantines` counts the quarantines so far.
     """
 
     revision: int
@@ -78,12 +74,12 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether anything speaks against the request."""
+        """Whether the request is still suspect."""
         return self.state is not SuspectState.CLEARED
 
 
 class Suspects:
-    """The table; deterministic. Each change takes a new revision."""
+    """The table of suspects. It is deterministic; each change takes a new revision."""
 
     def __init__(self, held: list[Suspect] = ()) -> None:
         self._held = {suspect.request: suspect for suspect in held}
@@ -97,76 +93,76 @@
 
     @property
     def all(self) -> list[Suspect]:
-        """All suspects, in the order in which they last changed."""
+        """All suspects in the order of their last change."""
         return list(self._held.values())
 
     @property
     def dropped(self) -> int:
-        """How many were dropped here since others needed their place."""
+        """The number of suspects that this copy has evicted because the table was full."""
         return self._dropped
 
     def get(self, request: str) -> Suspect | None:
-        """Return what is held of a request."""
+        """Return the record of a request, or None."""
         return self._held.get(request)
 
     def since(self, revision: int) -> list[Suspect]:
-        """Return the suspects that changed after a revision, by revision and name."""
+        """Return the suspects that changed after a revision, by revision and request."""
         newer = [suspect for suspect in self._held.values() if suspect.revision > revision]
         return sorted(newer, key=lambda suspect: (suspect.revision, suspect.request))
 
     def put(self, suspect: Suspect) -> None:
-        """Take in a suspect as another copy of the table holds it."""
+        """Insert or replace a suspect, for example from another copy of the table."""
         self._held.pop(suspect.request, None)
         self._held[suspect.request] = suspect
-        self._trim()
+        self._evict_excess()
 
     def report(self, report: RequestReport, now_ms: int, revision: int) -> bool:
-        """Take in a report; tells whether the revision, the next one, was taken for it."""
+        """Apply a report; returns whether the table changed and `revision` was used."""
         if report.answered:
             return self.clear(report.request, now_ms, revision)
-        held = self._held.get(report.request)
-        if held is None or not held.is_current:
-            held = Suspect(0, report.request, SuspectState.SUSPECTED, 0, (), 0)
-        if report.ends <= held.ends:
+        suspect = self._held.get(report.request)
+        if suspect is None or not suspect.is_current:
+            suspect = Suspect(0, report.request, SuspectState.SUSPECTED, 0, (), 0)
+        if report.ends <= suspect.ends:
             return False
-        ended = (*held.ended, report.ended)[-LIVES_KEPT:]
-        changed = replace(held, revision=revision, ends=report.ends, ended=ended)
-        if held.state is not SuspectState.QUARANTINED:
-            changed = self._judge(changed, now_ms)
+        crashed = (*suspect.ended, report.ended)[-MAX_RECORDED_INCARNATIONS:]
+        changed = replace(suspect, revision=revision, ends=report.ends, ended=crashed)
+        if suspect.state is not SuspectState.QUARANTINED:
+            changed = self._quarantine_if_due(changed, now_ms)
         self.put(changed)
         return True
 
     def clear(self, request: str, now_ms: int, revision: int) -> bool:
-        """Note that nothing speaks against a request; tells whether the revision was taken."""
-        held = self._held.get(request)
-        if held is None or not held.is_current:
+        """Clear a request; returns whether the table changed and `revision` was used."""
+        suspect = self._held.get(request)
+        if suspect is None or not suspect.is_current:
             return False
-        until_ms = now_ms + SUSPECTED_FOR_MS
+        until_ms = now_ms + SUSPICION_MS
         self.put(Suspect(revision, request, SuspectState.CLEARED, 0, (), until_ms))
         return True
 
     def expire(self, now_ms: int, revision: int) -> bool:
-        """Let time pass for what is due; tells whether the revision was taken."""
+        """Update the suspects that are due; returns whether `revision` was used."""
         due = [suspect for suspect in self._held.values() if suspect.until_ms <= now_ms]
-        taken = False
+        changed = False
         for suspect in due:
             match suspect.state:
                 case SuspectState.QUARANTINED:
                     until_ms = now_ms + QUARANTINED_FOR_MS[-1]
                     state = SuspectState.ON_TRIAL
                     self.put(replace(suspect, revision=revision, state=state, until_ms=until_ms))
-                    taken = True
+                    changed = True
                 case SuspectState.CLEARED:
                     del self._held[suspect.request]
                 case _:
-                    taken |= self.clear(suspect.request, now_ms, revision)
-        return taken
+                    changed |= self.clear(suspect.request, now_ms, revision)
+        return changed
 
-    def _judge(self, suspect: Suspect, now_ms: int) -> Suspect:
-        """Quarantine a request, unless it is one of too many or has too few ends."""
+    def _quarantine_if_due(self, suspect: Suspect, now_ms: int) -> Suspect:
+        """Quarantine a request at the crash threshold, unless too many are quarantined."""
         quarantined = sum(s.state is SuspectState.QUARANTINED for s in self._held.values())
-        if suspect.ends < QUARANTINE_AFTER or quarantined >= MOST_QUARANTINED:
-            return replace(suspect, until_ms=now_ms + SUSPECTED_FOR_MS)
+        if suspect.ends < QUARANTINE_AFTER or quarantined >= MAX_QUARANTINED:
+            return replace(suspect, until_ms=now_ms + SUSPICION_MS)
         wait_ms = QUARANTINED_FOR_MS[min(suspect.quarantines, len(QUARANTINED_FOR_MS) - 1)]
         return replace(
             suspect,
@@ -175,17 +171,17 @@
             quarantines=suspect.quarantines + 1,
         )
 
-    def _trim(self) -> None:
-        """Drop what says least: the cleared, then those with fewest ends, the oldest first."""
-        if len(self._held) <= MOST_SUSPECTS:
+    def _evict_excess(self) -> None:
+        """Evict a cleared suspect, else the one with the fewest crashes, the oldest first."""
+        if len(self._held) <= MAX_SUSPECTS:
             return
-        least = min(self._held.values(), key=_weight)
-        del self._held[least.request]
+        evicted = min(self._held.values(), key=_eviction_rank)
+        del self._held[evicted.request]
         self._dropped += 1
 
 
-def _weight(suspect: Suspect) -> tuple[int, int]:
-    """Order suspects by how much would be lost with them; `min` takes the oldest of equals."""
+def _eviction_rank(suspect: Suspect) -> tuple[int, int]:
+    """Return the sort key for eviction, lowest first; `min` returns the oldest of equals."""
     match suspect.state:
         case SuspectState.CLEARED:
             return 0, 0
--- a/tests/unit/test_state.py
+++ b/tests/unit/test_state.py
@@ -1,4 +1,4 @@
-"""The state machine: races, resends, claims, history, and equal digests on every replica."""
+"""State machine: concurrent changes, retries, claims, history and determinism."""
 
 from __future__ import annotations
 
@@ -71,14 +71,14 @@
     )
 
 
-def entry(incarnation="1", state="live") -> PutResource:
-    """The command that registers the entry which makes the claims."""
+def put_entry(incarnation="1", state="live") -> PutResource:
+    """Return the command that registers the entry that holds the claims."""
     address = "10.0.0.1:1"
     fields = {"address": address, "peer": address, "zone": "z", "incarnation": incarnation}
     return put("instance", "e1", {**fields, "state": state})
 
 
-def end_of_entry() -> DeleteResource:
+def delete_entry() -> DeleteResource:
     return DeleteResource(now_ms=0, kind="instance", name="e1", operator="ann")
 
 
@@ -89,7 +89,7 @@
     return machine
 
 
-def test_one_wins_among_equal_numbers_and_the_other_sees_the_winner(machine):
+def test_concurrent_put_with_same_generation_returns_the_winner(machine):
     first = machine.apply(put("region", "south", {"latency_ms": {"north": 1}}, 0, "c1", "ann"))
     second = machine.apply(put("region", "south", {"latency_ms": {"north": 2}}, 0, "c1", "bob"))
     assert isinstance(first, Accepted)
@@ -97,7 +97,7 @@
     assert msgspec.json.decode(second.winner)["spec"] == {"latency_ms": {"north": 1.0}}
 
 
-def test_a_resend_gets_the_first_answer_also_after_a_snapshot(machine):
+def test_retry_returns_the_stored_answer_also_after_a_snapshot(machine):
     change = put("region", "south", {}, 0, "c1")
     first = machine.apply(change)
     machine.apply(put("region", "south", {"latency_ms": {"north": 3}}, 1, "c2"))
@@ -108,7 +108,7 @@
         assert replica.store.get("region", "south").generation == 2
 
 
-def test_writing_what_stands_is_accepted_and_changes_nothing(machine):
+def test_put_of_an_unchanged_spec_keeps_the_revision(machine):
     first = machine.apply(put("region", "south", {"latency_ms": {"north": 1}}, 0))
     again = machine.apply(put("region", "south", {"latency_ms": {"north": 1}}, 1))
     assert isinstance(again, Accepted)
@@ -116,12 +116,12 @@
     assert machine.revision == first.revision
 
 
-def test_a_change_id_is_not_used_for_two_changes(machine):
+def test_change_id_of_another_change_is_rejected(machine):
     machine.apply(put("region", "south", {}, 0, "c1"))
     assert isinstance(machine.apply(put("region", "east", {}, 0, "c1")), Reused)
 
 
-def test_a_stored_answer_is_forgotten_after_its_time(machine):
+def test_stored_answer_expires(machine):
     change = put("region", "south", {}, 0, "c1")
     machine.apply(change)
     machine.apply(Expire(now_ms=DAY_MS + 1))
@@ -136,7 +136,7 @@
     assert result == Rejected([("zone/z.region", "still refers to region/north")])
 
 
-def test_a_move_that_holds_callers_cannot_be_deleted(machine):
+def test_move_with_shifted_callers_cannot_be_deleted(machine):
     machine.apply(put("region", "south", {}))
     machine.apply(put("service", "s", {}))
     machine.apply(put("move", "m", {"service": "s", "source": "north", "target": "south"}))
@@ -154,7 +154,7 @@
     assert "10% of the callers" in result.findings[0][1]
 
 
-def test_a_status_for_an_older_generation_is_refused(machine):
+def test_status_of_an_older_generation_is_rejected(machine):
     machine.apply(put("drain", "d", {"target": "region/north"}))
     machine.apply(put("region", "south", {}))
     machine.apply(put("drain", "d", {"target": "region/south"}))
@@ -166,12 +166,12 @@
 
 def test_a_claim_is_granted_to_one_attempt_only(machine):
     assert machine.apply(claim(attempt="a1")).granted
-    assert machine.apply(claim(attempt="a1")).granted, "a repeated message is harmless"
+    assert machine.apply(claim(attempt="a1")).granted, "a duplicate claim was not granted"
     other = machine.apply(claim(attempt="a2"))
     assert (other.granted, other.state) == (False, ClaimState.CLAIMED)
 
 
-def test_a_finished_claim_gives_its_answer_to_a_resend(machine):
+def test_settled_claim_returns_its_answer_to_a_retry(machine):
     machine.apply(claim())
     machine.apply(settle(ClaimState.DONE, answer=b"paid"))
     again = machine.apply(claim(attempt="a2"))
@@ -180,7 +180,7 @@
     assert reused.mismatch and not reused.granted
 
 
-def test_a_released_key_may_be_claimed_again_but_not_by_a_late_copy(machine):
+def test_released_key_is_granted_to_a_new_attempt_but_not_to_the_released_one(machine):
     machine.apply(claim(attempt="a1"))
     assert machine.apply(settle(ClaimState.RELEASED)).granted
     assert not machine.apply(claim(attempt="a1")).granted
@@ -188,18 +188,18 @@
     assert not machine.apply(settle(ClaimState.RELEASED, attempt="a1")).granted
 
 
-def test_a_release_that_overtakes_its_claim_wins(machine):
+def test_release_that_arrives_before_its_claim_prevents_the_grant(machine):
     machine.apply(settle(ClaimState.RELEASED, attempt="a1"))
     assert not machine.apply(claim(attempt="a1")).granted
     assert machine.apply(claim(attempt="a2")).granted
 
 
-def test_an_unknown_claim_is_never_run_again_but_may_turn_out_done(machine):
-    machine.apply(entry())
+def test_unknown_claim_is_never_granted_again_but_may_become_done(machine):
+    machine.apply(put_entry())
     machine.apply(claim())
-    machine.apply(entry(state="silent"))
+    machine.apply(put_entry(state="silent"))
     assert machine.apply(claim(attempt="a2")).state is ClaimState.CLAIMED
-    machine.apply(entry(state="gone"))
+    machine.apply(put_entry(state="gone"))
     assert machine.apply(claim(attempt="a2")).state is ClaimState.UNKNOWN
     assert not machine.apply(settle(ClaimState.RELEASED)).granted
     assert not machine.apply(claim(attempt="a3")).granted
@@ -207,22 +207,22 @@
     assert machine.apply(claim(attempt="a4")).answer == b"x"
 
 
-@pytest.mark.parametrize("end", [entry("2"), entry("1", "gone"), end_of_entry()])
-def test_the_end_of_an_entry_and_of_its_claims_is_one_step(machine, end):
-    """A leader that dies right after it must leave nothing undone."""
-    machine.apply(entry("1"))
+@pytest.mark.parametrize("end", [put_entry("2"), put_entry("1", "gone"), delete_entry()])
+def test_claims_of_an_entry_become_unknown_in_the_command_that_ends_it(machine, end):
+    """Open claims must not stay open if the leader fails right after the command."""
+    machine.apply(put_entry("1"))
     machine.apply(claim())
     machine.apply(end)
     assert machine.apply(claim(attempt="a2")).state is ClaimState.UNKNOWN
 
 
-def test_an_open_claim_is_not_forgotten(machine):
+def test_open_claim_does_not_expire(machine):
     machine.apply(claim(retain_s=1.0))
     machine.apply(Expire(now_ms=DAY_MS))
     assert not machine.apply(claim(attempt="a2", now_ms=DAY_MS)).granted
 
 
-def test_an_old_time_ordered_key_is_refused_after_its_record_is_gone(machine):
+def test_old_uuid7_key_is_refused_after_its_record_has_expired(machine):
     def key_at(ms: int) -> str:
         return str(uuid.UUID(int=(ms << 80) | (7 << 76) | (2 << 62) | 5))
 
@@ -237,7 +237,7 @@
     assert fresh.granted
 
 
-def test_history_has_no_gaps_and_says_when_it_is_gone():
+def test_history_has_no_gaps_and_raises_for_compacted_revisions():
     machine = StateMachine()
     machine._history = History(limit=8)
     for number in range(30):
@@ -250,7 +250,7 @@
     assert caught.value.oldest == since
 
 
-def test_time_never_runs_backwards(machine):
+def test_state_machine_time_is_monotonic(machine):
     machine.apply(Expire(now_ms=1_000))
     machine.apply(put("region", "south", {}, now_ms=5))
     assert machine.history.changes[-1].now_ms == 1_000
@@ -289,8 +289,8 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(commands=st.lists(COMMANDS, max_size=30), cut=st.integers(0, 30))
-def test_replicas_agree_whatever_their_way(commands, cut):
-    """One replica applies all; another gets a snapshot midway; a store follows the history."""
+def test_replicas_converge_by_commands_snapshot_and_history(commands, cut):
+    """Applying all commands, restoring a snapshot and following the history agree."""
     one, other, follower = StateMachine(), StateMachine(), ResourceStore()
     for number, command in enumerate(commands):
         decoded = decode_command(encode_command(command))
@@ -302,7 +302,7 @@
         assert one.digest() == other.digest()
     for change in one.history.since(0):
         assert follower.apply(change)
-        assert not follower.apply(change), "a change that comes twice is passed over"
+        assert not follower.apply(change), "a duplicate change was applied"
         assert change.operation in Operation
     assert {(r.kind, r.name): r for r in follower} == {(r.kind, r.name): r for r in one.store}
 
@@ -317,23 +317,23 @@
         max_size=20,
     )
 )
-def test_at_most_one_attempt_ever_dispatches_without_a_release_between(steps):
+def test_at_most_one_attempt_is_granted_between_releases(steps):
     machine = StateMachine()
-    running: str | None = None
+    granted_attempt: str | None = None
     released: set[str] = set()
     for step, attempt in steps:
         match step:
             case "claim":
                 if machine.apply(claim(attempt=attempt)).granted:
-                    assert running in (None, attempt), "two attempts were granted"
+                    assert granted_attempt in (None, attempt), "two attempts were granted"
                     assert attempt not in released, "a released attempt was granted again"
-                    running = attempt
+                    granted_attempt = attempt
             case "released":
                 if machine.apply(settle(ClaimState.RELEASED, attempt=attempt)).granted:
                     released.add(attempt)
-                    running = None if running == attempt else running
+                    granted_attempt = None if granted_attempt == attempt else granted_attempt
             case "abandon":
-                machine.apply(entry())
-                machine.apply(end_of_entry())
+                machine.apply(put_entry())
+                machine.apply(delete_entry())
             case _:
                 machine.apply(settle(ClaimState(step), attempt=attempt))
--- a/tests/unit/test_steering_state.py
+++ b/tests/unit/test_steering_state.py
@@ -1,4 +1,4 @@
-"""The steering state: marks, evacuations, and images that only ever move a copy forward."""
+"""Steering state: marks, evacuations, and images that update a copy to a newer revision."""
 
 from finchway.registry import MarkKind
 from finchway.state import MarkUpstream, SetEvacuation, StateMachine, Steered, Steering
@@ -13,20 +13,20 @@
     return SetEvacuation(now_ms=0, zone=zone, active=active)
 
 
-def test_a_gone_upstream_is_never_only_draining_again():
+def test_gone_upstream_is_not_changed_back_to_draining():
     steering = Steering()
     assert steering.mark_upstream(mark("i", MarkKind.GONE)) == Steered(1)
     assert steering.mark_upstream(mark("i", MarkKind.DRAINING)) == Steered(1)
     assert steering.marks["i"].kind is MarkKind.GONE
 
 
-def test_marking_again_takes_no_revision():
+def test_duplicate_mark_keeps_the_revision():
     steering = Steering()
     steering.mark_upstream(mark("i", MarkKind.DRAINING))
     assert steering.mark_upstream(mark("i", MarkKind.DRAINING)) == Steered(1)
 
 
-def test_evacuation_begins_and_ends_and_resends_are_harmless():
+def test_evacuation_starts_and_ends_idempotently():
     steering = Steering()
     assert steering.set_evacuation(evacuate("z", False)) == Steered(0)
     steering.set_evacuation(evacuate("z", True))
@@ -36,7 +36,7 @@
     assert steering.evacuated == frozenset()
 
 
-def test_a_copy_follows_by_what_is_newer_and_never_goes_back():
+def test_copy_merges_newer_images_and_ignores_older_ones():
     steering = Steering()
     steering.change_items(change(service(), route()))
     copy = Steering(steering.image())
@@ -50,7 +50,7 @@
     assert copy.image() == steering.image()
 
 
-def test_the_state_survives_a_snapshot():
+def test_state_is_restored_from_a_snapshot():
     machine = StateMachine()
     machine.apply(change(service(), route()))
     machine.apply(mark("i", MarkKind.DRAINING))
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -1,4 +1,4 @@
-"""The replicated table of requests under which upstreams ended."""
+"""The replicated table of requests that were in flight when upstreams crashed."""
 
 import msgspec
 
@@ -12,16 +12,16 @@
     SteeringImage,
     SuspectState,
 )
-from finchway.state._suspects import MOST_QUARANTINED, MOST_SUSPECTS, SUSPECTED_FOR_MS
+from finchway.state._suspects import MAX_QUARANTINED, MAX_SUSPECTS, SUSPICION_MS
 
 REQUEST = "9f2c41d07be2a35f"
 
 
-def ended(ends, life="", request=REQUEST):
-    return RequestReport(request, ends, life or f"life-{ends}")
+def crash_report(ends, incarnation="", request=REQUEST):
+    return RequestReport(request, ends, incarnation or f"upstream-{ends}")
 
 
-def answered(request=REQUEST):
+def answer_report(request=REQUEST):
     return RequestReport(request, answered=True)
 
 
@@ -35,115 +35,115 @@
     machine.apply(ReportRequests(now_ms=now_ms, reports=list(reports)))
 
 
-def held(machine, request=REQUEST):
+def suspect_of(machine, request=REQUEST):
     return machine.steering.suspects.get(request)
 
 
-def test_a_request_is_quarantined_with_the_third_end_whoever_saw_it():
-    machine = machine_with(ended(1))
-    report(machine, ended(2))
-    assert held(machine).state is SuspectState.SUSPECTED
-    report(machine, ended(3))
-    assert held(machine).state is SuspectState.QUARANTINED
-    assert held(machine).ended == ("life-1", "life-2", "life-3")
+def test_request_is_quarantined_at_the_third_crash_over_all_reports():
+    machine = machine_with(crash_report(1))
+    report(machine, crash_report(2))
+    assert suspect_of(machine).state is SuspectState.SUSPECTED
+    report(machine, crash_report(3))
+    assert suspect_of(machine).state is SuspectState.QUARANTINED
+    assert suspect_of(machine).ended == ("upstream-1", "upstream-2", "upstream-3")
 
 
-def test_ends_that_were_seen_at_the_same_time_count_once():
-    machine = machine_with(*(ended(1, life) for life in "abcde"))
-    assert held(machine).ends == 1
-    assert held(machine).ended == ("a",)
+def test_simultaneous_crashes_count_once():
+    machine = machine_with(*(crash_report(1, incarnation) for incarnation in "abcde"))
+    assert suspect_of(machine).ends == 1
+    assert suspect_of(machine).ended == ("a",)
 
 
-def test_a_report_that_comes_twice_or_late_changes_nothing():
-    machine = machine_with(ended(1), ended(2))
+def test_duplicate_or_late_report_is_ignored():
+    machine = machine_with(crash_report(1), crash_report(2))
     revision = machine.steering.revision
-    report(machine, ended(2), ended(1))
+    report(machine, crash_report(2), crash_report(1))
     assert machine.steering.revision == revision
 
 
-def test_an_answer_clears_a_request_and_it_needs_three_more():
-    machine = machine_with(ended(2), answered(), ended(1), ended(2))
-    assert held(machine).state is SuspectState.SUSPECTED
-    assert held(machine).ends == 2
+def test_answer_clears_a_request_and_resets_the_count():
+    machine = machine_with(crash_report(2), answer_report(), crash_report(1), crash_report(2))
+    assert suspect_of(machine).state is SuspectState.SUSPECTED
+    assert suspect_of(machine).ends == 2
 
 
-def test_a_copy_learns_of_each_step():
-    machine = machine_with(ended(1))
+def test_copy_receives_each_state_change():
+    machine = machine_with(crash_report(1))
     copy = Steering(machine.steering.image())
     assert copy.suspects.get(REQUEST).state is SuspectState.SUSPECTED
-    report(machine, ended(3))
+    report(machine, crash_report(3))
     assert copy.merge(machine.steering.image(copy.revision))
     assert copy.suspects.get(REQUEST).state is SuspectState.QUARANTINED
-    report(machine, answered())
+    report(machine, answer_report())
     assert copy.merge(machine.steering.image(copy.revision))
     assert not copy.suspects.get(REQUEST).is_current
 
 
-def test_suspicion_passes_with_time():
-    machine = machine_with(ended(2), ended(1, request="other"))
-    machine.apply(Expire(now_ms=SUSPECTED_FOR_MS - 1))
-    assert held(machine).is_current
-    machine.apply(Expire(now_ms=SUSPECTED_FOR_MS))
-    assert not held(machine).is_current
-    assert not held(machine, "other").is_current
-    machine.apply(Expire(now_ms=2 * SUSPECTED_FOR_MS))
+def test_suspicion_expires():
+    machine = machine_with(crash_report(2), crash_report(1, request="other"))
+    machine.apply(Expire(now_ms=SUSPICION_MS - 1))
+    assert suspect_of(machine).is_current
+    machine.apply(Expire(now_ms=SUSPICION_MS))
+    assert not suspect_of(machine).is_current
+    assert not suspect_of(machine, "other").is_current
+    machine.apply(Expire(now_ms=2 * SUSPICION_MS))
     assert len(machine.steering.suspects) == 0
 
 
-def test_a_quarantined_request_is_tried_again_and_then_waits_longer_for_each_upstream_more():
-    machine = machine_with(ended(3))
+def test_quarantine_grows_with_each_failed_trial():
+    machine = machine_with(crash_report(3))
     now_ms = 0
     for place, wait_ms in enumerate((*QUARANTINED_FOR_MS, QUARANTINED_FOR_MS[-1])):
         machine.apply(Expire(now_ms=now_ms + wait_ms - 1))
-        assert held(machine).state is SuspectState.QUARANTINED
+        assert suspect_of(machine).state is SuspectState.QUARANTINED
         now_ms += wait_ms
         machine.apply(Expire(now_ms=now_ms))
-        assert held(machine).state is SuspectState.ON_TRIAL
-        report(machine, ended(4 + place), now_ms=now_ms)
-        assert held(machine).state is SuspectState.QUARANTINED
+        assert suspect_of(machine).state is SuspectState.ON_TRIAL
+        report(machine, crash_report(4 + place), now_ms=now_ms)
+        assert suspect_of(machine).state is SuspectState.QUARANTINED
 
 
-def test_a_late_report_does_not_lengthen_a_quarantine():
-    machine = machine_with(ended(3))
-    until_ms = held(machine).until_ms
-    report(machine, ended(4), now_ms=1_000)
-    assert held(machine).until_ms == until_ms
-    assert held(machine).quarantines == 1
+def test_late_report_does_not_extend_a_quarantine():
+    machine = machine_with(crash_report(3))
+    until_ms = suspect_of(machine).until_ms
+    report(machine, crash_report(4), now_ms=1_000)
+    assert suspect_of(machine).until_ms == until_ms
+    assert suspect_of(machine).quarantines == 1
 
 
-def test_a_trial_that_is_answered_clears_the_request():
-    machine = machine_with(ended(3))
+def test_answered_trial_clears_the_request():
+    machine = machine_with(crash_report(3))
     machine.apply(Expire(now_ms=QUARANTINED_FOR_MS[0]))
-    report(machine, answered(), now_ms=QUARANTINED_FOR_MS[0])
-    assert not held(machine).is_current
+    report(machine, answer_report(), now_ms=QUARANTINED_FOR_MS[0])
+    assert not suspect_of(machine).is_current
 
 
-def test_when_upstreams_end_under_very_many_requests_these_are_not_to_blame():
-    machine = machine_with(*(ended(3, request=f"r{n}") for n in range(MOST_QUARANTINED + 1)))
-    assert held(machine, f"r{MOST_QUARANTINED - 1}").state is SuspectState.QUARANTINED
-    assert held(machine, f"r{MOST_QUARANTINED}").state is SuspectState.SUSPECTED
+def test_number_of_quarantined_requests_is_limited():
+    machine = machine_with(*(crash_report(3, request=f"r{n}") for n in range(MAX_QUARANTINED + 1)))
+    assert suspect_of(machine, f"r{MAX_QUARANTINED - 1}").state is SuspectState.QUARANTINED
+    assert suspect_of(machine, f"r{MAX_QUARANTINED}").state is SuspectState.SUSPECTED
 
 
-def test_the_table_is_bounded_and_keeps_what_is_quarantined():
-    machine = machine_with(ended(3))
-    for number in range(MOST_SUSPECTS + 5):
-        report(machine, ended(1, request=f"r{number}"))
+def test_table_is_bounded_and_retains_quarantined_requests():
+    machine = machine_with(crash_report(3))
+    for number in range(MAX_SUSPECTS + 5):
+        report(machine, crash_report(1, request=f"r{number}"))
     suspects = machine.steering.suspects
-    assert len(suspects) == MOST_SUSPECTS
+    assert len(suspects) == MAX_SUSPECTS
     assert suspects.dropped == 6
-    assert held(machine).state is SuspectState.QUARANTINED
+    assert suspect_of(machine).state is SuspectState.QUARANTINED
     assert suspects.get("r0") is None
 
 
-def test_the_table_survives_a_snapshot():
-    machine = machine_with(ended(3), ended(1, request="other"))
+def test_table_is_restored_from_a_snapshot():
+    machine = machine_with(crash_report(3), crash_report(1, request="other"))
     other = StateMachine()
     other.restore(machine.snapshot())
     assert other.digest() == machine.digest()
-    report(other, ended(2, request="other"))
-    assert held(other, "other").ended == ("life-1", "life-2")
+    report(other, crash_report(2, request="other"))
+    assert suspect_of(other, "other").ended == ("upstream-1", "upstream-2")
 
 
-def test_a_state_of_before_there_were_suspects_can_be_read():
+def test_image_without_suspects_can_be_decoded():
     old = msgspec.msgpack.encode([3, [], [], []])
     assert msgspec.msgpack.decode(old, type=SteeringImage) == SteeringImage(3)
