--- a/src/finchway/membership/__init__.py
+++ b/src/finchway/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is live, leaving or silent, and the leader's decisions that follow from it."""
+"""Membership of entries: heartbeats, leases, and the leader's decisions based on them."""
 
 from finchway.membership._coordinator import (
     Coordinator,
@@ -12,21 +12,21 @@
     UpstreamMark,
     rate_key,
 )
+from finchway.membership._plans import SYSTEM_OPERATOR, capacity_of
 from finchway.membership._platform import PlatformList, PlatformView
-from finchway.membership._progress import SYSTEM_OPERATOR, capacity_of
-from finchway.membership._registry import Known, LeaseTiming, Registry
+from finchway.membership._registry import HeartbeatRegistry, LatestHeartbeat, LeaseTiming
 
 __all__ = [
     "SYSTEM_OPERATOR",
     "Coordinator",
     "Heartbeat",
     "HeartbeatReply",
-    "Known",
+    "HeartbeatRegistry",
+    "LatestHeartbeat",
     "LeaseTiming",
     "PlatformList",
     "PlatformView",
     "RateReport",
-    "Registry",
     "UpstreamMark",
     "capacity_of",
     "changes_since",
--- a/src/finchway/membership/_coordinator.py
+++ b/src/finchway/membership/_coordinator.py
@@ -1,7 +1,7 @@
-"""The leader's decisions, without I/O: who is live, how capacity is divided, what moves on.
+"""The leader's control loop, without I/O: liveness, division of capacity, drains and moves.
 
 The coordinator reads the replicated resources and the heartbeats, answers each heartbeat, and
-plans the commands that bring the produced state up to date. A new leader starts with a new one.
+plans the commands that reconcile the replicated state. Each new leader creates its own.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 
 from finchway.exceptions import GoneError
 from finchway.membership._heartbeat import Heartbeat, HeartbeatReply, rate_key
-from finchway.membership._platform import PlatformView
-from finchway.membership._progress import (
+from finchway.membership._plans import (
     SYSTEM_OPERATOR,
     capacity_of,
     plan_drains,
@@ -19,7 +18,8 @@
     plan_moves,
     put_command,
 )
-from finchway.membership._registry import LeaseTiming, Registry
+from finchway.membership._platform import PlatformView
+from finchway.membership._registry import HeartbeatRegistry, LeaseTiming
 from finchway.policy import (
     Lender,
     LoanTiming,
@@ -47,12 +47,12 @@
     StateMachine,
 )
 
-DELTA_LIMIT = 200
+MAX_DELTA_CHANGES = 200
 EXPIRE_INTERVAL_S = 10.0
 
 
 class Coordinator:
-    """The leader's view of the entries and its plan for the produced state."""
+    """The leader's view of the entries and its reconciliation of the replicated state."""
 
     def __init__(
         self,
@@ -63,57 +63,57 @@
     ) -> None:
         self._machine = machine
         self._lease = lease or LeaseTiming()
-        self._registry = Registry(self._lease, now)
+        self._registry = HeartbeatRegistry(self._lease, now)
         self._platform = PlatformView()
         self._limits = LimitNews()
-        self._longest = _longest_requests(machine.store)
+        self._max_request_s = _max_request_durations(machine.store)
         self._lender = Lender(loans or LoanTiming(), now)
-        self._unheard = {
+        self._awaited_holders = {
             f"{i.name}@{i.spec.incarnation}"
             for i in machine.store.of_kind("instance")
             if i.spec.state is not InstanceState.GONE
         }
-        self._compiled = -1
-        self._wanted_at = -1
-        self._wanted: dict[tuple[str, str], Division] = {}
+        self._indexed_revision = -1
+        self._targets_revision = -1
+        self._targets: dict[tuple[str, str], Division] = {}
         self._shares: dict[tuple[str, str], Share] = {}
         self._expire_at = now + EXPIRE_INTERVAL_S
 
     @property
-    def registry(self) -> Registry:
-        """The heartbeats that the leader has."""
+    def registry(self) -> HeartbeatRegistry:
+        """The latest heartbeat of each entry."""
         return self._registry
 
     @property
     def platform(self) -> PlatformView:
-        """What the platform has said."""
+        """The platform's view of the instances."""
         return self._platform
 
     @property
     def lender(self) -> Lender:
-        """The loans that are out."""
+        """The lender of slots and its outstanding loans."""
         return self._lender
 
     def answer(self, heartbeat: Heartbeat, now: float, with_changes: bool = True) -> HeartbeatReply:
-        """Answer a heartbeat: the confirmed revision, missing changes, lease, loans, rates.
+        """Answer a heartbeat with the revision, missing changes, lease, loans and rates.
 
-        The caller vouches that a quorum has confirmed the leadership a moment ago.
+        The caller must have confirmed the leadership with a quorum just before.
         """
-        self._compile()
-        fresh = self._registry.record(heartbeat, now)
+        self._refresh_indexes()
+        is_new = self._registry.record(heartbeat, now)
         self._limits.learn(heartbeat.limits, now)
-        self._unheard.discard(heartbeat.holder)
-        if not self._unheard:
+        self._awaited_holders.discard(heartbeat.holder)
+        if not self._awaited_holders:
             self._lender.learn_all()
         loans = []
-        if fresh and not heartbeat.stopped and self._is_registered(heartbeat):
+        if is_new and not heartbeat.stopped and self._is_registered(heartbeat):
             loans = self._lender.lend(
                 heartbeat.holder,
                 heartbeat.demands,
                 heartbeat.loans_applied,
                 heartbeat.sequence,
                 self._shares,
-                self._longest,
+                self._max_request_s,
                 now,
             )
         changes, snapshot = [], None
@@ -132,13 +132,13 @@
         )
 
     def _is_registered(self, heartbeat: Heartbeat) -> bool:
-        """Lend only to lives that the replicated state knows, so that a new leader knows them."""
-        held = self._store.get("instance", heartbeat.instance)
-        return held is not None and held.spec.incarnation == heartbeat.incarnation
+        """Whether this incarnation is registered; a new leader waits for registered borrowers."""
+        resource = self._store.get("instance", heartbeat.instance)
+        return resource is not None and resource.spec.incarnation == heartbeat.incarnation
 
     def plan(self, now: float, now_ms: int) -> list[AnyCommand]:
-        """Return the commands that bring the produced state up to date."""
-        self._compile()
+        """Return the commands that reconcile the replicated state with the declared resources."""
+        self._refresh_indexes()
         commands: list[AnyCommand] = []
         commands += self._plan_instances(now, now_ms)
         commands += self._plan_shares(now, now_ms)
@@ -152,16 +152,16 @@
         return commands
 
     def in_force(self, now: float) -> int:
-        """Return the newest revision that every entry which may serve has applied.
+        """Return the highest revision that all entries which may serve have applied.
 
-        An entry that is not silent counts with what it last said; a silent one has no lease.
+        Silent entries are not counted, since their leases have expired.
         """
         revisions = [
-            known.heartbeat.revision if known else 0
+            latest.heartbeat.revision if latest else 0
             for instance in self._store.of_kind("instance")
             if instance.spec.state is not InstanceState.GONE
             and not self._registry.is_silent(instance.name, now)
-            for known in [self._registry.get(instance.name)]
+            for latest in [self._registry.get(instance.name)]
         ]
         return min(revisions, default=self._machine.revision)
 
@@ -169,18 +169,18 @@
     def _store(self) -> ResourceStore:
         return self._machine.store
 
-    def _compile(self) -> None:
-        if self._compiled == self._machine.revision:
+    def _refresh_indexes(self) -> None:
+        if self._indexed_revision == self._machine.revision:
             return
-        self._compiled = self._machine.revision
-        self._longest = _longest_requests(self._store)
+        self._indexed_revision = self._machine.revision
+        self._max_request_s = _max_request_durations(self._store)
         self._shares = {
             (share.spec.service, share.spec.region): share.spec
             for share in self._store.of_kind("share")
         }
 
     def _rates(self, heartbeat: Heartbeat) -> dict[str, float]:
-        """Divide each paid rate among the entries in proportion to what they see of it."""
+        """Divide each contracted rate among the entries in proportion to their observed rates."""
         rates: dict[str, float] = {}
         for report in heartbeat.rates:
             organisation = self._store.get("organisation", report.organisation)
@@ -188,27 +188,28 @@
             if not contract:
                 continue
             total = sum(
-                other.rate
-                for known in self._registry
-                for other in known.heartbeat.rates
-                if (other.organisation, other.service) == (report.organisation, report.service)
+                observed.rate
+                for latest in self._registry
+                for observed in latest.heartbeat.rates
+                if (observed.organisation, observed.service)
+                == (report.organisation, report.service)
             )
-            part = report.rate / total if total > 0 else 1.0
-            rates[rate_key(report.organisation, report.service)] = contract.rate * part
+            fraction = report.rate / total if total > 0 else 1.0
+            rates[rate_key(report.organisation, report.service)] = contract.rate * fraction
         return rates
 
     # Instances
 
     def _plan_instances(self, now: float, now_ms: int) -> list[AnyCommand]:
         commands: list[AnyCommand] = []
-        for known in list(self._registry):
-            commands += self._plan_known(known.heartbeat, now, now_ms)
+        for latest in list(self._registry):
+            commands += self._plan_reporting(latest.heartbeat, now, now_ms)
         for resource in self._store.of_kind("instance"):
-            commands += self._plan_unheard(resource, now, now_ms)
+            commands += self._plan_silent(resource, now, now_ms)
         return commands
 
-    def _plan_known(self, heartbeat: Heartbeat, now: float, now_ms: int) -> list[AnyCommand]:
-        held = self._store.get("instance", heartbeat.instance)
+    def _plan_reporting(self, heartbeat: Heartbeat, now: float, now_ms: int) -> list[AnyCommand]:
+        current = self._store.get("instance", heartbeat.instance)
         if self._registry.is_silent(heartbeat.instance, now):
             return []
         state = InstanceState.LIVE
@@ -223,16 +224,16 @@
             incarnation=heartbeat.incarnation,
             state=state,
         )
-        if held is None and heartbeat.stopped:
+        if current is None and heartbeat.stopped:
             return []
-        if held is not None and held.spec == spec:
+        if current is not None and current.spec == spec:
             return []
         return [put_command("instance", heartbeat.instance, spec, now_ms)]
 
-    def _plan_unheard(self, resource: Resource, now: float, now_ms: int) -> list[AnyCommand]:
+    def _plan_silent(self, resource: Resource, now: float, now_ms: int) -> list[AnyCommand]:
         spec: Instance = resource.spec
         if spec.state is InstanceState.GONE:
-            return self._plan_gone(resource, now_ms)
+            return self._plan_removal(resource, now_ms)
         if not self._registry.is_silent(resource.name, now):
             return []
         if self._platform.is_gone(resource.name) or self._platform.is_gone(spec.address):
@@ -243,9 +244,9 @@
             return [put_command("instance", resource.name, silent, now_ms)]
         return []
 
-    def _plan_gone(self, resource: Resource, now_ms: int) -> list[AnyCommand]:
-        known = self._registry.get(resource.name)
-        if known is not None and known.heartbeat.incarnation == resource.spec.incarnation:
+    def _plan_removal(self, resource: Resource, now_ms: int) -> list[AnyCommand]:
+        latest = self._registry.get(resource.name)
+        if latest is not None and latest.heartbeat.incarnation == resource.spec.incarnation:
             self._registry.forget(resource.name)
         holders = {
             member
@@ -265,19 +266,21 @@
     # Shares
 
     def _plan_shares(self, now: float, now_ms: int) -> list[AnyCommand]:
-        wanted = self._wanted_divisions()
+        targets = self._target_divisions()
         commands: list[AnyCommand] = []
         instances = {i.name: i.spec.state for i in self._store.of_kind("instance")}
         silent = {n for n, s in instances.items() if s is InstanceState.SILENT}
-        for key, division in wanted.items():
+        for key, division in targets.items():
             share = self._shares.get(key)
             members = _all_members(share)
             gone = {
                 m for m in members if instances.get(m, InstanceState.GONE) is InstanceState.GONE
             }
-            step = next_division(share, division, self._shrunk(key, share), gone, silent)
-            if step is not None:
-                epoch, current, previous = step
+            transition = next_division(
+                share, division, self._instances_at_epoch(key, share), gone, silent
+            )
+            if transition is not None:
+                epoch, current, previous = transition
                 spec = Share(
                     service=key[0],
                     region=key[1],
@@ -286,7 +289,7 @@
                     previous=previous,
                 )
                 commands.append(put_command("share", share_name(*key), spec, now_ms))
-        for key in self._shares.keys() - wanted.keys():
+        for key in self._shares.keys() - targets.keys():
             commands.append(
                 DeleteResource(
                     now_ms=now_ms, kind="share", name=share_name(*key), operator=SYSTEM_OPERATOR
@@ -294,24 +297,24 @@
             )
         return commands
 
-    def _shrunk(self, key: tuple[str, str], share: Share | None) -> set[str]:
+    def _instances_at_epoch(self, key: tuple[str, str], share: Share | None) -> set[str]:
         if share is None:
             return set()
         name = share_name(*key)
         return {
-            known.heartbeat.instance
-            for known in self._registry
-            if known.heartbeat.shrunk.get(name) == share.epoch
+            latest.heartbeat.instance
+            for latest in self._registry
+            if latest.heartbeat.shrunk.get(name) == share.epoch
         }
 
-    def _wanted_divisions(self) -> dict[tuple[str, str], Division]:
-        """Return the division of each share that the resources ask for, once a revision."""
-        if self._wanted_at != self._machine.revision:
-            self._wanted_at = self._machine.revision
-            self._wanted = self._divide()
-        return self._wanted
+    def _target_divisions(self) -> dict[tuple[str, str], Division]:
+        """Return the target division of each share, computed once per revision."""
+        if self._targets_revision != self._machine.revision:
+            self._targets_revision = self._machine.revision
+            self._targets = self._compute_divisions()
+        return self._targets
 
-    def _divide(self) -> dict[tuple[str, str], Division]:
+    def _compute_divisions(self) -> dict[tuple[str, str], Division]:
         slots: dict[tuple[str, str], dict[str, int]] = {}
         for pool in self._store.of_kind("pool"):
             key = (pool.spec.service, pool.spec.region)
@@ -330,23 +333,26 @@
         return divisions
 
     def _choose_members(self, key: tuple[str, str], count: int) -> list[str]:
-        """Pick entries for a share: the region's own first, spread over availability zones."""
+        """Choose entries for a share, spread over the zones of its region.
+
+        Without an entry in the region, chooses from all zones, nearest first.
+        """
         drained = drained_instances(self._store)
         zones = {z.name: z.spec.region for z in self._store.of_kind("zone")}
         by_zone: dict[str, list[str]] = {}
         for instance in self._store.of_kind("instance"):
-            stays = instance.spec.state in (InstanceState.LIVE, InstanceState.SILENT)
-            if stays and instance.name not in drained:
+            is_eligible = instance.spec.state in (InstanceState.LIVE, InstanceState.SILENT)
+            if is_eligible and instance.name not in drained:
                 by_zone.setdefault(instance.spec.zone, []).append(instance.name)
         order = rank(share_name(*key), by_zone)
-        order.sort(key=lambda zone: self._distance(key[1], zones.get(zone, "")))
+        order.sort(key=lambda zone: self._latency_ms(key[1], zones.get(zone, "")))
         local = [zone for zone in order if zones.get(zone) == key[1]]
         chosen = _round_robin(share_name(*key), [by_zone[z] for z in local], count)
         if not chosen:
             chosen = _round_robin(share_name(*key), [by_zone[z] for z in order], count)
         return sorted(chosen)
 
-    def _distance(self, source: str, target: str) -> float:
+    def _latency_ms(self, source: str, target: str) -> float:
         if source == target:
             return -1.0
         region = self._store.get("region", source)
@@ -354,23 +360,26 @@
 
 
 def changes_since(machine: StateMachine, revision: int) -> tuple[list, list | None]:
-    """Return (changes, None) after a revision, or ([], whole state) if that is shorter."""
+    """Return (changes, None) after a revision, or ([], full state) if that is shorter.
+
+    The full state is also returned if the changes are no longer retained.
+    """
     try:
         changes = machine.history.since(revision)
     except GoneError:
         return [], full_state(machine.store)
-    if len(changes) > DELTA_LIMIT and len(changes) > sum(1 for _ in machine.store):
+    if len(changes) > MAX_DELTA_CHANGES and len(changes) > sum(1 for _ in machine.store):
         return [], full_state(machine.store)
     return changes, None
 
 
 def full_state(store: ResourceStore) -> list:
-    """Return every resource as a change, in the order of their revisions."""
+    """Return every resource as a change, ordered by revision."""
     resources = sorted(store, key=lambda resource: resource.revision)
     return [change_of(resource, Operation.PUT, 0) for resource in resources]
 
 
-def _longest_requests(store: ResourceStore) -> dict[str, float]:
+def _max_request_durations(store: ResourceStore) -> dict[str, float]:
     return {s.name: s.spec.deadline_ms / 1000 for s in store.of_kind("service")}
 
 
--- a/src/finchway/membership/_heartbeat.py
+++ b/src/finchway/membership/_heartbeat.py
@@ -1,7 +1,7 @@
-"""What an entry and the leader tell each other in every heartbeat.
+"""The heartbeat of an entry and the leader's reply.
 
-One message carries liveness, the applied revision, demands for capacity, drain counts and load
-reports; its answer carries the lease, the missing changes and the loans.
+The heartbeat carries liveness, the applied revision, demands for capacity, drain counts and load
+reports. The reply carries the lease, the missing changes and the loans.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class RateReport(Struct, frozen=True):
-    """Requests per second of one organisation at one service, as one entry sees them."""
+    """Requests per second of one organisation at one service, observed by one entry."""
 
     organisation: str
     service: str
@@ -22,7 +22,7 @@
 
 
 class UpstreamMark(Struct, frozen=True):
-    """What an entry knows of one life of an upstream: whether it is leaving."""
+    """Whether an incarnation of an upstream is leaving, observed by one entry."""
 
     address: str
     incarnation: str
@@ -30,13 +30,14 @@
 
 
 class Heartbeat(Struct, frozen=True, tag=True, kw_only=True):
-    """An entry tells the leader that it lives, what it has applied and what it wants.
-
-    `sequence` numbers the heartbeats of one incarnation; `loans_applied` is the newest answer
-    whose loans are in use; `shrunk` maps shares to the epoch that the entry's work fits. `loads`
-    gives the busy part of each share's region, from fresh reports only. `stopped` says that the
-    entry will never send again. `limits` are what upstreams have told it that they take, and
-    `limits_known` tells which news of the leader's on that it has.
+    """A heartbeat from an entry to the leader: its state and its demand for capacity.
+
+    `sequence` numbers the heartbeats of one incarnation. `loans_applied` is the sequence of the
+    newest reply whose loans are in use. `shrunk` maps each share to the newest epoch to whose
+    slots the entry's requests in flight have shrunk. `loads` is the busy fraction of each share,
+    from recent reports only. `stopped` marks the last heartbeat of an incarnation. `limits` are the
+    rate limits that upstreams have reported to the entry; `limits_known` identifies the limit
+    reports that it has received from the leader.
     """
 
     instance: str
@@ -61,18 +62,17 @@
 
     @property
     def holder(self) -> str:
-        """The identity under which this life of the entry claims keys."""
+        """The identity of this incarnation as a holder of claims and loans."""
         return f"{self.instance}@{self.incarnation}"
 
 
 class HeartbeatReply(Struct, frozen=True, tag=True, kw_only=True):
-    """The leader confirms a revision and lends slots.
+    """The leader's reply: confirmed revision, missing changes, lease, loans and rates.
 
-    `changes` follow the revision that the entry has; `snapshot`, the state at
-    `snapshot_revision`, replaces them when it is too far behind. The lease runs for `lease_s`
-    from the moment the heartbeat was sent. `rates` gives the part of each paid rate that this
-    entry may let through, by organisation and service; `limits` are what upstreams have newly told
-    any entry that they take.
+    `changes` follow the entry's revision. If the entry is too far behind, `snapshot` has the full
+    state at `snapshot_revision` instead. The lease lasts `lease_s` from the time when the heartbeat
+    was sent. `rates` is the entry's portion of each contracted rate, by organisation and service.
+    `limits` are new rate limits that upstreams have reported to any entry.
     """
 
     sequence: int
@@ -87,5 +87,5 @@
 
 
 def rate_key(organisation: str, service: str) -> str:
-    """Return the name of an organisation's paid rate at a service."""
+    """Return the key of an organisation's contracted rate at a service."""
     return f"{organisation}/{service}"
--- a/src/finchway/membership/_progress.py
+++ b/src/finchway/membership/_plans.py
@@ -1,14 +1,14 @@
-"""The leader's plans for what operators have declared: leaving marks, drains and moves.
+"""Reconciliation of leaving marks, drains and moves by the leader.
 
-Each function compares the replicated state with what the entries say, and returns the commands
-that bring the produced state up to date.
+Each function compares the replicated state with the latest heartbeats, and returns the commands
+that update the replicated state.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from finchway.membership._registry import Registry
+from finchway.membership._registry import HeartbeatRegistry
 from finchway.policy import (
     DrainView,
     ShiftView,
@@ -39,19 +39,19 @@
 
 
 def plan_marks(
-    store: ResourceStore, registry: Registry, now: float, now_ms: int
+    store: ResourceStore, registry: HeartbeatRegistry, now: float, now_ms: int
 ) -> list[AnyCommand]:
-    """Tell all entries which upstreams are leaving, until a new life of them is seen."""
+    """Replicate leaving marks of upstreams, and delete them once a new incarnation is reported."""
     commands: dict[str, AnyCommand] = {}
-    for known in registry:
-        if registry.is_silent(known.heartbeat.instance, now):
+    for latest in registry:
+        if registry.is_silent(latest.heartbeat.instance, now):
             continue
-        for mark in known.heartbeat.marks:
-            held = store.get("leaving", mark.address)
-            if mark.leaving and held is None:
+        for mark in latest.heartbeat.marks:
+            current = store.get("leaving", mark.address)
+            if mark.leaving and current is None:
                 spec = Leaving(incarnation=mark.incarnation)
                 commands[mark.address] = put_command("leaving", mark.address, spec, now_ms)
-            elif not mark.leaving and held and held.spec.incarnation != mark.incarnation:
+            elif not mark.leaving and current and current.spec.incarnation != mark.incarnation:
                 commands.setdefault(
                     mark.address,
                     DeleteResource(
@@ -65,7 +65,7 @@
 
 
 def plan_drains(
-    store: ResourceStore, registry: Registry, now: float, now_ms: int
+    store: ResourceStore, registry: HeartbeatRegistry, now: float, now_ms: int
 ) -> list[AnyCommand]:
     commands: list[AnyCommand] = []
     for drain in store.of_kind("drain"):
@@ -75,56 +75,60 @@
     return commands
 
 
-def _drain_view(store: ResourceStore, registry: Registry, drain: Resource, now: float) -> DrainView:
+def _drain_view(
+    store: ResourceStore, registry: HeartbeatRegistry, drain: Resource, now: float
+) -> DrainView:
     reports: dict[str, int] = {}
-    unaware = []
+    not_reporting = []
     for instance in store.of_kind("instance"):
         if instance.spec.state is InstanceState.GONE:
             continue
-        known = registry.get(instance.name)
-        counts = {r.drain: r.in_flight for r in known.heartbeat.drains} if known else {}
+        latest = registry.get(instance.name)
+        counts = {r.drain: r.in_flight for r in latest.heartbeat.drains} if latest else {}
         if registry.is_silent(instance.name, now) or drain.name not in counts:
-            unaware.append(instance.name)
+            not_reporting.append(instance.name)
         else:
             reports[instance.name] = counts[drain.name]
-    return DrainView(reports, unaware)
+    return DrainView(reports, not_reporting)
 
 
 def plan_moves(
-    machine: StateMachine, registry: Registry, in_force: int, now_ms: int
+    machine: StateMachine, registry: HeartbeatRegistry, in_force: int, now_ms: int
 ) -> list[AnyCommand]:
     store = machine.store
     moves = store.of_kind("move")
     commands: list[AnyCommand] = []
-    pending: set[tuple[str, str]] = set()
+    updated: set[tuple[str, str]] = set()
     for move in moves:
         percent = move.status.percent if move.status else 0.0
         source, target = move.spec.source, move.spec.target
-        into = target if move.spec.goal_percent >= percent else source
-        if (move.spec.service, into) in pending:
+        receiving_region = target if move.spec.goal_percent >= percent else source
+        if (move.spec.service, receiving_region) in updated:
             continue
-        capacity = capacity_of(store, move.spec.service, into)
+        capacity = capacity_of(store, move.spec.service, receiving_region)
         pairs = [(other.spec, other.status) for other in moves]
         accepted_ms = _accepted_ms(machine, move)
         view = ShiftView(
             cap_percent=capacity.inbound_percent,
             window_s=capacity.window_s,
             recent_percent=recent_percent(
-                pairs, move.spec.service, into, capacity.window_s, now_ms
+                pairs, move.spec.service, receiving_region, capacity.window_s, now_ms
             ),
             in_force=in_force >= move.revision,
-            free_fraction=_free_fraction(registry, move.spec.service, into, capacity.headroom),
+            free_fraction=_free_capacity_fraction(
+                registry, move.spec.service, receiving_region, capacity.headroom
+            ),
             accepted_ms=accepted_ms,
         )
         status = next_move_status(move.spec, move.status, view, now_ms)
         if status != move.status:
             commands.append(status_command("move", move, status, now_ms))
-            pending.add((move.spec.service, into))
+            updated.add((move.spec.service, receiving_region))
     return commands
 
 
 def _accepted_ms(machine: StateMachine, move: Resource) -> int:
-    """Return when a move began; one that has made steps has waited its window already."""
+    """Return the time at which a move was accepted, or 0 if it has already made a step."""
     if move.status is not None and move.status.steps:
         return 0
     changes = machine.history.changes
@@ -132,14 +136,16 @@
     return times[0] if times else 0
 
 
-def _free_fraction(registry: Registry, service: str, region: str, headroom: float) -> float | None:
+def _free_capacity_fraction(
+    registry: HeartbeatRegistry, service: str, region: str, headroom: float
+) -> float | None:
     name = share_name(service, region)
-    loads = [known.heartbeat.loads[name] for known in registry if name in known.heartbeat.loads]
+    loads = [latest.heartbeat.loads[name] for latest in registry if name in latest.heartbeat.loads]
     return 1 - headroom - sum(loads) / len(loads) if loads else None
 
 
 def capacity_of(store: ResourceStore, service: str, region: str) -> Capacity:
-    """Return the declared limits of a service in a region, or the defaults."""
+    """Return the declared capacity limits of a service in a region, or the defaults."""
     for capacity in store.of_kind("capacity"):
         if (capacity.spec.service, capacity.spec.region) == (service, region):
             return capacity.spec
@@ -147,7 +153,7 @@
 
 
 def put_command(kind: str, name: str, spec: Instance | Share | Leaving, now_ms: int) -> PutResource:
-    """Return the command that writes a spec of the system's own."""
+    """Return a command by which the system itself writes a spec."""
     return PutResource(
         now_ms=now_ms,
         kind=kind,
@@ -158,7 +164,7 @@
 
 
 def status_command(kind: str, resource: Resource, status: Status, now_ms: int) -> PutStatus:
-    """Return the command that writes the produced state of a resource."""
+    """Return the command that writes the status of a resource."""
     return PutStatus(
         now_ms=now_ms,
         kind=kind,
--- a/src/finchway/membership/_platform.py
+++ b/src/finchway/membership/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances. It lags, and it may flip."""
+"""The platform's list of live and leaving instances, which may be stale or out of order."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class PlatformList(Struct, frozen=True, kw_only=True):
-    """One answer of the platform: addresses (`IP:port`) or names of instances.
+    """A list from the platform, with the addresses (`IP:port`) or names of instances.
 
-    `as_of_ms` is when the platform made the list; it can be older than the answer.
+    `as_of_ms` is the time at which the platform created the list, which may be before it was sent.
     """
 
     live: list[str] = []
@@ -17,16 +17,16 @@
 
 
 class PlatformView:
-    """What the platform has said so far.
+    """The state of the instances, derived from the platform's lists.
 
-    A leaving mark sticks until the platform has left the instance out of a list and then shown it
-    as live, so a list that lags or flips takes no mark back. An instance is absent only after
-    several lists without it.
+    An instance is absent after `ABSENT_AFTER_LISTS` consecutive lists without it. A leaving mark is
+    removed only when the instance has been absent and is listed as live again, so stale lists do
+    not remove it.
     """
 
     __slots__ = ("_absent", "_known", "_leaving", "_newest_ms")
 
-    LISTS_TO_BE_ABSENT = 3
+    ABSENT_AFTER_LISTS = 3
 
     def __init__(self) -> None:
         self._known: set[str] = set()
@@ -40,7 +40,7 @@
         return frozenset(self._leaving)
 
     def record(self, listing: PlatformList) -> None:
-        """Take in a list; one made before the newest one seen is passed over."""
+        """Apply a list; a list older than the newest one seen is ignored."""
         if listing.as_of_ms < self._newest_ms:
             return
         self._newest_ms = listing.as_of_ms
@@ -56,8 +56,8 @@
         self._leaving |= set(listing.leaving)
 
     def is_gone(self, name: str) -> bool:
-        """Tell whether the platform once listed an instance and has stopped doing so."""
+        """Whether an instance was listed before and is now absent."""
         return name in self._known and self._is_absent(name)
 
     def _is_absent(self, name: str) -> bool:
-        return self._absent.get(name, 0) >= self.LISTS_TO_BE_ABSENT
+        return self._absent.get(name, 0) >= self.ABSENT_AFTER_LISTS
--- a/src/finchway/membership/_registry.py
+++ b/src/finchway/membership/_registry.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the entries: their newest heartbeats and when they came."""
+"""The latest heartbeat of each entry and the time when the leader received it."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class LeaseTiming(Struct, frozen=True):
-    """Times of entry leases in seconds.
+    """Lease timing of entries in seconds.
 
-    An entry sends a heartbeat each `interval` and is confirmed for `lease`; it is silent once
-    `lease` and `margin` have passed without one.
+    An entry sends a heartbeat every `interval` and holds its lease for `lease`. It is silent after
+    `lease` plus `margin`, a margin for clock drift, without a heartbeat.
     """
 
     interval: float = 0.2
@@ -19,47 +19,50 @@
     margin: float = 1.0
 
 
-class Known(Struct):
-    """The newest heartbeat of one entry."""
+class LatestHeartbeat(Struct):
+    """The latest heartbeat of one entry."""
 
     heartbeat: Heartbeat
     heard_at: float
 
 
-class Registry:
-    """The entries that the leader has heard since it was elected."""
+class HeartbeatRegistry:
+    """The heartbeats that the leader has received since its election."""
 
     __slots__ = ("_entries", "_started", "_timing")
 
     def __init__(self, timing: LeaseTiming, now: float) -> None:
         self._timing = timing
         self._started = now
-        self._entries: dict[str, Known] = {}
+        self._entries: dict[str, LatestHeartbeat] = {}
 
     def __iter__(self):
         return iter(self._entries.values())
 
-    def get(self, instance: str) -> Known | None:
-        """Return what is known of an entry."""
+    def get(self, instance: str) -> LatestHeartbeat | None:
+        """Return the latest heartbeat of an entry, or None."""
         return self._entries.get(instance)
 
     def record(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take in a heartbeat; False if a newer one of the same incarnation was here before."""
-        known = self._entries.get(heartbeat.instance)
-        if known is not None:
-            held = known.heartbeat
-            same_life = held.incarnation == heartbeat.incarnation
-            if same_life and (held.sequence >= heartbeat.sequence or held.stopped):
+        """Record a heartbeat; returns False if it is outdated within its incarnation."""
+        latest = self._entries.get(heartbeat.instance)
+        if latest is not None:
+            current = latest.heartbeat
+            same_incarnation = current.incarnation == heartbeat.incarnation
+            if same_incarnation and (current.sequence >= heartbeat.sequence or current.stopped):
                 return False
-        self._entries[heartbeat.instance] = Known(heartbeat, now)
+        self._entries[heartbeat.instance] = LatestHeartbeat(heartbeat, now)
         return True
 
     def forget(self, instance: str) -> None:
-        """Drop an entry that is gone."""
+        """Remove an entry that has terminated."""
         self._entries.pop(instance, None)
 
     def is_silent(self, instance: str, now: float) -> bool:
-        """Tell whether an entry's lease is over; a new leader waits one lease before it judges."""
-        known = self._entries.get(instance)
-        heard_at = known.heard_at if known else self._started
-        return now - heard_at > self._timing.lease + self._timing.margin
+        """Whether the lease of an entry has expired.
+
+        Without a heartbeat, the lease counts from the leader's election.
+        """
+        latest = self._entries.get(instance)
+        last_contact_at = latest.heard_at if latest else self._started
+        return now - last_contact_at > self._timing.lease + self._timing.margin
