--- a/tests/linearizability.py
+++ b/tests/linearizability.py
@@ -1,6 +1,6 @@
-"""Checks that a concurrent history of one register with compare-and-set is linearizable.
+"""Linearizability check for concurrent histories of a register with compare-and-set.
 
-An operation whose answer was lost may have taken effect at any time after it began, or never.
+An operation without an answer may have taken effect at any time after its start, or never.
 """
 
 from __future__ import annotations
@@ -11,9 +11,10 @@
 
 
 class Operation(Struct, frozen=True):
-    """One call: a read that saw `generation`, or a write from `expected` to one more.
+    """One call: a read that returned `generation`, or a write that expected it.
 
-    `ok` is None when the answer was lost; `ended` is then infinite.
+    A successful write increments the generation. `ok` is None if the answer was lost; `ended` is
+    then infinite.
     """
 
     kind: str
@@ -25,14 +26,14 @@
 
 
 class State(Struct, frozen=True):
-    """The register: how often it was written, and its value."""
+    """The number of writes to the register, and its value."""
 
     generation: int
     value: str
 
 
 def is_linearizable(operations: list[Operation], start: State) -> bool:
-    """Search for an order of the operations that respects real time and explains all answers."""
+    """Search for a sequential order that is consistent with real time and all answers."""
     ordered = sorted(operations, key=lambda op: op.began)
     seen: set[tuple[int, State]] = set()
 
@@ -42,9 +43,9 @@
         if (done, state) in seen:
             return False
         seen.add((done, state))
-        left = [i for i in range(len(ordered)) if not done >> i & 1]
-        first_end = min(ordered[i].ended for i in left)
-        for index in left:
+        remaining = [i for i in range(len(ordered)) if not done >> i & 1]
+        first_end = min(ordered[i].ended for i in remaining)
+        for index in remaining:
             operation = ordered[index]
             if operation.began > first_end:
                 break
@@ -59,10 +60,10 @@
 
 
 def _apply(operation: Operation, state: State) -> State | None:
-    """Return the state after an operation, or None if its answer does not fit here."""
+    """Return the state after an operation, or None if its answer contradicts the state."""
     if operation.kind == "read":
-        fits = (operation.generation, operation.value) == (state.generation, state.value)
-        return state if fits else None
+        is_consistent = (operation.generation, operation.value) == (state.generation, state.value)
+        return state if is_consistent else None
     matches = operation.generation == state.generation
     if operation.ok is False:
         return None if matches else state
--- a/tests/unit/test_groups.py
+++ b/tests/unit/test_groups.py
@@ -1,9 +1,6 @@
-"""Tests that share addresses run in one worker.
+"""Tests that share network addresses must run in one worker.
 
-Tests with real processes ran side by side although they are marked as one group, and a process of
-one could not bind an address that another had: "Address already in use" in the logs of five
-processes of a deployment, and a test that ran out of its time. The runner had renamed what the
-plugin for workers sets to group tests, so the marks had no effect, and nothing said so.
+Guards against xdist_group marks without effect, which let such tests fail to bind an address.
 """
 
 import subprocess
@@ -13,7 +10,7 @@
 import os, time
 import pytest
 
-pytestmark = pytest.mark.xdist_group("together")
+pytestmark = pytest.mark.xdist_group("shared")
 
 @pytest.mark.parametrize("number", range(6))
 def test_marked(number):
