--- a/bench/feed.py
+++ b/bench/feed.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from finchway.control._feed import HOLD_S
+from finchway.control._feed import LONG_POLL_S
 from finchway.feed import (
     Feed,
     GatewayBeat,
@@ -106,7 +106,7 @@
         size, _, take_in = measure(make_feed(gateways, news=True))
         roster = len(msgspec.msgpack.encode(make_roster(gateways)))
         with_demand = 1 / DEMAND_EVERY_S
-        answers = REPLICAS / HOLD_S
+        answers = REPLICAS / LONG_POLL_S
         plain = answers - with_demand
         rate = (size * with_demand + plain_bytes * plain + question * answers) / 1e3
         core = (take_in * with_demand + plain_take * plain) * 100
--- a/src/finchway/control/__init__.py
+++ b/src/finchway/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control role: the replica's shell, the leader's loops and the resource API."""
+"""The control role: the replica runner, the leader's background tasks and the resource API."""
 
 from finchway.control._api import ResourceApi
 from finchway.control._bootstrap import Bootstrapped, bootstrap, found_cluster
--- a/src/finchway/control/_api.py
+++ b/src/finchway/control/_api.py
@@ -1,12 +1,12 @@
 """The resource API over HTTP, as an ASGI application.
 
-GET    /v1/resources/{kind}[/{name}]      list or read, confirmed by a quorum
+GET    /v1/resources/{kind}[/{name}]      list or read, linearizable
 PUT    /v1/resources/{kind}/{name}        {"spec": ..., "expected": 3, "change_id": "..."}
 DELETE /v1/resources/{kind}/{name}?expected=3&change_id=...
-GET    /v1/watch?since=REVISION&kind=K    one JSON object a line, ordered and without gaps
-GET    /v1/entries                        what is in force where
+GET    /v1/watch?since=REVISION&kind=K    one JSON object per line, in revision order, no gaps
+GET    /v1/entries                        the revision in force at each entry
 GET    /v1/replicas, POST /v1/replicas    the replica set
-GET    /v1/events?after=CURSOR            the time line of all processes
+GET    /v1/events?after=CURSOR            the merged event log of all processes
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
 
 
 class ResourceApi:
-    """Serves operators on one control process."""
+    """Serves the operator API of one control process."""
 
     def __init__(
         self,
@@ -164,10 +164,10 @@
                 raise NotFoundError(f"no such path: {request.method} {request.path}")
 
     async def _authorise(self, request: Request, needed: Role, needs_quorum: bool = True) -> str:
-        """Return the operator's name, as the newest state knows it.
+        """Return the name of the operator whose credential the request carries.
 
-        Raises `DeniedError`, or `UnavailableError` without a quorum. What only shows how things
-        stand is answered without one too, from the state that this replica has.
+        Raises `DeniedError`, or `UnavailableError` without a quorum. With `needs_quorum=False`,
+        the credential is checked against this replica's possibly stale state instead.
         """
         try:
             await self._server.confirm()
@@ -246,7 +246,7 @@
 
     async def _change(self, command: PutResource | DeleteResource, respond) -> None:
         result = await self._server.submit(command)
-        accepted = _accepted(result, f"{command.kind}/{command.name}")
+        accepted = _require_accepted(result, f"{command.kind}/{command.name}")
         answer = {
             "revision": accepted.revision,
             "generation": accepted.generation,
@@ -278,7 +278,7 @@
         await respond({"type": "http.response.body", "body": b"", "more_body": False})
 
     async def _in_force(self) -> int | None:
-        """Return the revision that is in force everywhere; None if no leader says it now."""
+        """Return the lowest revision in force at any serving entry; None without a leader."""
         try:
             answer = await self._server.at_leader(EntryQuery())
         except UnavailableError:
@@ -305,12 +305,12 @@
         members = self._server.runner.core.members
         answers: list[Any] = []
         for member in members.voters + members.learners:
-            answers.append(await self._ask_replica(member.id, member.address))
+            answers.append(await self._replica_status(member.id, member.address))
         joiners = [j for j in self._server.replicas.joiners if members.find(j.id) is None]
         body = {"members": members, "replicas": answers, "asking": joiners}
         await send_json(respond, body)
 
-    async def _ask_replica(self, replica: str, address: str) -> Any:
+    async def _replica_status(self, replica: str, address: str) -> Any:
         if address == self._address:
             return self._server.runner.status()
         try:
@@ -326,7 +326,7 @@
         await self._replicas(respond)
 
     async def _events(self, request: Request, respond) -> None:
-        """Merge the events of all processes; the cursor holds one position for each."""
+        """Merge the events of all processes; the cursor holds one position per process."""
         positions = _decode_cursor(request.query.get("after", ""))
         store = self._server.runner.machine.store
         peers = {i.spec.peer for i in store.of_kind("instance")}
@@ -374,7 +374,7 @@
         raise ResourceError([Finding("after", str(error))], "query") from error
 
 
-def _accepted(result: AnyResult, what: str) -> Accepted:
+def _require_accepted(result: AnyResult, what: str) -> Accepted:
     match result:
         case Accepted():
             return result
--- a/src/finchway/control/_bootstrap.py
+++ b/src/finchway/control/_bootstrap.py
@@ -1,4 +1,4 @@
-"""The start of a new cluster: an operator's explicit act, once."""
+"""Creation of a new cluster, which an operator requests explicitly and once."""
 
 from __future__ import annotations
 
@@ -25,14 +25,13 @@
 
 FIRST_OPERATOR = "admin"
 FOUNDER_INCARNATION = "founder"
-# A joining replica holds nothing, which is index 0; at index 1 the first state reaches it as a
-# snapshot.
+# Joining replicas start at index 0, so they receive the initial state at index 1 as a snapshot.
 _FIRST_INDEX = 1
 _FIRST_TERM = 1
 
 
 class Bootstrapped(Struct, frozen=True):
-    """What a new cluster starts with; the credential is shown once and kept as a digest."""
+    """The result of a bootstrap. Only a digest of the credential is stored."""
 
     cluster: str
     replica: str
@@ -76,10 +75,10 @@
 def found_cluster(folder: Path, name: str, founders: dict[str, str]) -> Identity:
     """Start a cluster together with other founders, each in its own empty data folder.
 
-    `founders` are peer addresses by replica name, the same at each of them. All derive the same
-    first state from these, so they need not talk before, and may start in any order. It must be
-    called only when the whole deployment starts for the first time: a founder that lost its data
-    later has to join under a new incarnation.
+    `founders` maps replica names to peer addresses and must be the same on every founder. All
+    derive an identical initial state from it, so they need no coordination and may start in any
+    order. Call it only on the first start of the whole deployment: a founder that loses its data
+    later must join under a new incarnation.
     """
     names = "\n".join(f"{founder}={founders[founder]}" for founder in sorted(founders))
     cluster = hashlib.sha256(names.encode()).hexdigest()[:12]
--- a/src/finchway/control/_feed.py
+++ b/src/finchway/control/_feed.py
@@ -1,4 +1,4 @@
-"""The replica's side of the feed: it answers gateways, and shares heartbeats with its fellows."""
+"""The replica's side of the feed: answers gateways and shares heartbeats with peer replicas."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from finchway.control._replica import ReplicaRunner
 from finchway.feed import (
     Feed,
-    GatewayBook,
+    GatewayTable,
     HeardUpstream,
     ReplicaAddress,
     Roster,
@@ -18,103 +18,101 @@
     Subscribe,
 )
 from finchway.pushback import LimitNews
-from finchway.registry import AddressHolders, Heard, Registration, Registry
+from finchway.registry import AddressOwners, ReceivedHeartbeat, Registration, Registry
 from finchway.transport import Link
 
-# Seconds that a question waits for news, so that calm costs a gateway under two answers a second
-# from each replica.
-HOLD_S = 0.6
-# A gateway that serves nobody yet waits for a word that a leader is known, which is no news of the
-# steering state: it is answered soon, so that it can ask again.
-HOLD_UNREADY_S = 0.1
-# Seconds between two times that open questions are answered for news of limits: what upstreams name
-# must be known everywhere soon, and figures that change with each answer must not fill the links.
-LIMITS_EVERY_S = 0.3
-# Seconds between two messages to fellow replicas with the heartbeats heard here, and between two
-# that tell again who is silent.
-SHARE_EVERY_S = 0.1
-SHARE_SILENT_EVERY_S = 2.0
-# Heartbeats that an upstream may miss before it counts as silent; two can be lost in a row.
-SILENT_BEATS = 2.5
-# Upstreams in one answer: 33 KB, a tenth of a second of a gateway's link of 2.65 Mbit/s. All of a
-# large deployment's at once would hold up the news behind them, or never arrive in time.
-UPSTREAMS_AN_ANSWER = 200
-# Seconds of silence after which an upstream is forgotten; after those of a gateway it is not named.
-FORGET_UPSTREAM_AFTER_S = 120.0
-GATEWAY_SILENT_AFTER_S = 2.0
-
-
-class FeedDesk:
-    """What one replica knows beyond the committed state, and the answers to gateways."""
+# Time that a gateway's request is held open while there are no changes (long polling).
+LONG_POLL_S = 0.6
+# Hold time for a gateway that is not ready yet. It waits for a confirmed leader, which is not a
+# change of the steering state, so it has to poll more often.
+LONG_POLL_UNREADY_S = 0.1
+# Minimum interval between answers to held requests because of changed limits, since limits can
+# change with every response of an upstream.
+LIMITS_INTERVAL_S = 0.3
+# Intervals at which new heartbeats, and the last heartbeats of silent upstreams, are sent to peer
+# replicas.
+SHARE_INTERVAL_S = 0.1
+SHARE_SILENT_INTERVAL_S = 2.0
+# Heartbeat intervals after which an upstream counts as silent; tolerates two lost in a row.
+SILENT_AFTER_HEARTBEATS = 2.5
+# Bounds the size of an answer, so that it does not delay later changes on a slow link.
+MAX_UPSTREAMS_PER_ANSWER = 200
+# Time without heartbeats after which an upstream, or a gateway, is removed.
+UPSTREAM_RETENTION_S = 120.0
+GATEWAY_TIMEOUT_S = 2.0
+
+
+class FeedServer:
+    """Holds a replica's uncommitted state (heartbeats, limits) and answers gateways."""
 
     def __init__(self, runner: ReplicaRunner, link: Link, heartbeat: float) -> None:
         self._runner = runner
         self._link = link
-        self._silent_after = SILENT_BEATS * heartbeat
-        self._life = uuid.uuid4().hex[:12]
-        self._registry = Registry(FORGET_UPSTREAM_AFTER_S, AddressHolders(self._silent_after))
-        self._gateways = GatewayBook(GATEWAY_SILENT_AFTER_S)
+        self._silent_after = SILENT_AFTER_HEARTBEATS * heartbeat
+        self._incarnation = uuid.uuid4().hex[:12]
+        self._registry = Registry(UPSTREAM_RETENTION_S, AddressOwners(self._silent_after))
+        self._gateways = GatewayTable(GATEWAY_TIMEOUT_S)
         self._limits = LimitNews()
-        self._limits_told = trio.Event()
-        self._limits_told_at = float("-inf")
-        self._limits_wait = False
-        self._fresh: list[str] = []
+        self._limits_changed = trio.Event()
+        self._limits_notified_at = float("-inf")
+        self._limits_pending = False
+        self._unshared: list[str] = []
         self._roster = Roster(version=1)
         self._silent_shared_at = float("-inf")
 
     @property
     def registry(self) -> Registry:
-        """The upstreams' heartbeats that this replica knows."""
+        """The newest heartbeats of upstreams."""
         return self._registry
 
     @property
-    def gateways(self) -> GatewayBook:
-        """The gateways that this replica hears."""
+    def gateways(self) -> GatewayTable:
+        """The newest heartbeats of gateways."""
         return self._gateways
 
     @property
     def silent_count(self) -> int:
-        """How many upstreams this replica holds to be silent."""
+        """The number of upstreams that this replica considers silent."""
         return len(self._roster.silent)
 
-    def hear(self, registration: Registration) -> bool:
-        """Take in a heartbeat of an upstream; False for one that came late."""
-        is_news = self._registry.record(registration, trio.current_time())
-        if is_news:
-            self._fresh.append(registration.instance)
-        return is_news
+    def record_heartbeat(self, registration: Registration) -> bool:
+        """Record an upstream's heartbeat; return False if it is out of date."""
+        is_new = self._registry.record(registration, trio.current_time())
+        if is_new:
+            self._unshared.append(registration.instance)
+        return is_new
 
-    def hear_shared(self, shared: ShareHeard) -> None:
-        """Take in what a fellow replica heard."""
+    def record_shared_heartbeats(self, shared: ShareHeard) -> None:
+        """Record heartbeats that a peer replica received."""
         now = trio.current_time()
-        for heard in shared.upstreams:
-            self._registry.record(heard.registration, now - heard.age)
+        for received in shared.upstreams:
+            self._registry.record(received.registration, now - received.age)
 
-    async def answer(self, question: Subscribe) -> Feed:
-        """Answer a gateway: at once if something committed is new, else after a short while."""
+    async def answer(self, poll: Subscribe) -> Feed:
+        """Answer a gateway, at once if the steering state is newer, else after a hold time."""
         arrived_at = trio.current_time()
-        self._gateways.record(question.beat, arrived_at)
-        self._limits_wait |= self._limits.learn(question.beat.limits, arrived_at)
-        self._tell_limits(arrived_at)
-        known = question.life == self._life
+        self._gateways.record(poll.beat, arrived_at)
+        self._limits_pending |= self._limits.learn(poll.beat.limits, arrived_at)
+        self._notify_limits(arrived_at)
+        known = poll.life == self._incarnation
         steering = self._runner.machine.steering
-        if known and not question.rest and steering.revision <= question.revision:
-            hold = HOLD_S if question.beat.ready else HOLD_UNREADY_S
-            await self._wait_for_news(question.revision, hold)
-        return self._feed(question, known, arrived_at)
+        if known and not poll.rest and steering.revision <= poll.revision:
+            hold = LONG_POLL_S if poll.beat.ready else LONG_POLL_UNREADY_S
+            await self._wait_for_changes(poll.revision, hold)
+        return self._build_feed(poll, known, arrived_at)
 
     async def run(self) -> None:
-        """Share heartbeats until cancelled."""
+        """Share heartbeats and update the roster until cancelled."""
         while True:
-            await trio.sleep(SHARE_EVERY_S)
+            await trio.sleep(SHARE_INTERVAL_S)
             now = trio.current_time()
             self._registry.forget_silent(now)
             silent = self._registry.silent(now, self._silent_after)
-            self._renew_roster(silent, now)
-            self._share(silent or [], now)
-            self._tell_limits(now)
+            self._update_roster(silent, now)
+            self._share_heartbeats(silent or [], now)
+            self._notify_limits(now)
 
-    async def _wait_for_news(self, revision: int, hold: float) -> None:
+    async def _wait_for_changes(self, revision: int, hold: float) -> None:
         with trio.move_on_after(hold):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._wait_for_limits, nursery.cancel_scope)
@@ -122,53 +120,54 @@
                 nursery.cancel_scope.cancel()
 
     async def _wait_for_limits(self, scope: trio.CancelScope) -> None:
-        await self._limits_told.wait()
+        await self._limits_changed.wait()
         scope.cancel()
 
-    def _tell_limits(self, now: float) -> None:
-        """Have open questions answered if there are news of limits, now and then at most."""
-        if not self._limits_wait or now - self._limits_told_at < LIMITS_EVERY_S:
+    def _notify_limits(self, now: float) -> None:
+        """Release held requests if limits have changed, at a limited rate."""
+        if not self._limits_pending or now - self._limits_notified_at < LIMITS_INTERVAL_S:
             return
-        self._limits_wait = False
-        self._limits_told_at = now
-        self._limits_told.set()
-        self._limits_told = trio.Event()
+        self._limits_pending = False
+        self._limits_notified_at = now
+        self._limits_changed.set()
+        self._limits_changed = trio.Event()
 
-    def _feed(self, question: Subscribe, known: bool, arrived_at: float) -> Feed:
+    def _build_feed(self, poll: Subscribe, known: bool, arrived_at: float) -> Feed:
         now = trio.current_time()
         runner = self._runner
         steering = runner.machine.steering
-        order = question.order if known else -1
+        order = poll.order if known else -1
         newer = self._registry.since(order)
-        part = newer[:UPSTREAMS_AN_ANSWER]
-        more = len(part) < len(newer)
-        has_roster = known and question.roster == self._roster.version
+        page = newer[:MAX_UPSTREAMS_PER_ANSWER]
+        more = len(page) < len(newer)
+        has_roster = known and poll.roster == self._roster.version
         return Feed(
-            life=self._life,
-            order=part[-1].order if more else self._registry.order,
-            image=steering.image(question.revision if known else -1),
+            life=self._incarnation,
+            order=page[-1].order if more else self._registry.order,
+            image=steering.image(poll.revision if known else -1),
             upstreams=[
-                HeardUpstream(heard.registration, round(now - heard.heard_at, 3)) for heard in part
+                HeardUpstream(received.registration, round(now - received.heard_at, 3))
+                for received in page
             ],
             more=more,
             roster=None if has_roster else self._roster,
-            demand=self._gateways.demand(now) if question.demand else None,
+            demand=self._gateways.demand(now) if poll.demand else None,
             held=round(now - arrived_at, 3),
             age=round(now - runner.covered_at, 3),
-            limits=self._limits.since(question.limits, now),
+            limits=self._limits.since(poll.limits, now),
         )
 
-    def _renew_roster(self, silent: list[Heard] | None, now: float) -> None:
-        """Work out who is there; a replica that hears no upstream keeps to what it knew."""
-        held = self._roster
+    def _update_roster(self, silent: list[ReceivedHeartbeat] | None, now: float) -> None:
+        """Rebuild the roster; without any heartbeats, the silent upstreams are kept unchanged."""
+        current = self._roster
         members = self._runner.core.members
         roster = Roster(
-            version=held.version,
+            version=current.version,
             serving=self._gateways.serving(now),
             silent=(
-                held.silent
+                current.silent
                 if silent is None
-                else sorted(heard.registration.life for heard in silent)
+                else sorted(received.registration.life for received in silent)
             ),
             replicas=[
                 ReplicaAddress(member.name, member.address)
@@ -176,21 +175,24 @@
                 if member.address
             ],
         )
-        if roster != held:
-            self._roster = msgspec.structs.replace(roster, version=held.version + 1)
-
-    def _share(self, silent: list[Heard], now: float) -> None:
-        """Pass on what was heard here, and now and then what is silent: a new fellow lacks it."""
-        heard = [self._registry.get(name) for name in dict.fromkeys(self._fresh)]
-        self._fresh = []
-        if now - self._silent_shared_at >= SHARE_SILENT_EVERY_S:
+        if roster != current:
+            self._roster = msgspec.structs.replace(roster, version=current.version + 1)
+
+    def _share_heartbeats(self, silent: list[ReceivedHeartbeat], now: float) -> None:
+        """Send new heartbeats to peer replicas, and periodically those of silent upstreams.
+
+        A replica that has just started would not list the silent ones otherwise.
+        """
+        heartbeats = [self._registry.get(name) for name in dict.fromkeys(self._unshared)]
+        self._unshared = []
+        if now - self._silent_shared_at >= SHARE_SILENT_INTERVAL_S:
             self._silent_shared_at = now
-            heard += silent
-        if not heard:
+            heartbeats += silent
+        if not heartbeats:
             return
         shared = ShareHeard(
             upstreams=[
-                HeardUpstream(h.registration, round(now - h.heard_at, 3)) for h in heard if h
+                HeardUpstream(h.registration, round(now - h.heard_at, 3)) for h in heartbeats if h
             ]
         )
         members = self._runner.core.members
--- a/src/finchway/control/_replica.py
+++ b/src/finchway/control/_replica.py
@@ -1,7 +1,7 @@
-"""The shell of one replica: it moves messages, syncs files and applies what is committed.
+"""Runs one replica: transfers messages, syncs the log and applies committed entries.
 
-One task runs the core in a fixed order: take in messages and proposals, write and sync, send,
-apply. Everything that waits while a sync runs is written together with the next one.
+A single task runs the core in a fixed order: receive messages and proposals, write and sync, send,
+apply. What arrives during a sync is batched into the next one.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from finchway.transport import Join, Link, RaftBody, Replica
 
 _LOG = logging.getLogger(__name__)
-SNAPSHOT_EVERY = 5_000
+SNAPSHOT_MIN_ENTRIES = 5_000
 SUBMIT_TIMEOUT_S = 3.0
 JOIN_INTERVAL_S = 0.5
 REJOIN_AFTER_S = 3.0
@@ -43,7 +43,7 @@
 
 
 class _Waiter(Struct, eq=False):
-    """Someone who waits for an entry to be applied, or for a read to be confirmed."""
+    """A caller that waits for an entry to be applied, or for a read to be confirmed."""
 
     term: int
     event: trio.Event
@@ -52,7 +52,7 @@
 
 
 class ReplicaRunner:
-    """Runs one replica of the log and the state machine on it."""
+    """Runs one replica of the log and its state machine."""
 
     def __init__(
         self,
@@ -84,10 +84,10 @@
         self._proposals: deque[tuple[AnyCommand, _Waiter]] = deque()
         self._waiting: dict[int, _Waiter] = {}
         self._reads: dict[int, _Waiter] = {}
-        self._read_numbers = 0
+        self._last_read_number = 0
         self._wake = trio.Event()
         self._applied_event = trio.Event()
-        self._failed: str = ""
+        self._failure: str = ""
         self._last_leader: str | None = None
         self._confirmed_at = float("-inf")
         self._confirmed_index = 0
@@ -95,17 +95,17 @@
 
     @property
     def machine(self) -> StateMachine:
-        """The replicated state as far as it is applied here."""
+        """The state machine, as far as entries are applied on this replica."""
         return self._machine
 
     @property
     def cluster(self) -> str:
-        """The identity of the cluster."""
+        """The cluster id."""
         return self._identity.cluster
 
     @property
     def core(self) -> Core:
-        """The replica's core."""
+        """The consensus core."""
         return self._core
 
     @property
@@ -116,31 +116,31 @@
     @property
     def is_leader(self) -> bool:
         """Whether this replica leads and has not failed."""
-        return self._core.is_leader and not self._failed
+        return self._core.is_leader and not self._failure
 
     @property
     def confirmed_at(self) -> float:
-        """When the newest quorum-confirmed read was asked for, on this process's clock."""
+        """When the newest quorum-confirmed read was requested, on this process's clock."""
         return self._confirmed_at
 
     @property
     def confirmed_index(self) -> int:
-        """The index that the newest quorum-confirmed read gave."""
+        """The index returned by the newest quorum-confirmed read."""
         return self._confirmed_index
 
     @property
     def covered_at(self) -> float:
-        """The newest moment up to which the state holds, for sure, all that was accepted.
+        """The time up to which the applied state is guaranteed to hold all accepted changes.
 
-        It is on this process's clock, and is -inf before the first confirmation of a leader. To
-        have heard the leader says less: what it sent may not fit this replica's log yet.
+        It is on this process's clock, and -inf before a leader is first confirmed. Contact with
+        the leader alone does not advance it, since this replica's log may still lag behind.
         """
         return self._covered_at
 
     @property
     def failure(self) -> str:
-        """Why the replica has stopped for good; empty while it works."""
-        return self._failed
+        """Why the replica has stopped permanently; empty while it runs."""
+        return self._failure
 
     def leader_address(self) -> str | None:
         """Return the peer address of the leader, if one is known."""
@@ -148,17 +148,17 @@
         return member.address if member else None
 
     def receive(self, message: AnyMessage, address: str) -> None:
-        """Take in a message of the log; a replica not known yet is answered at `address`."""
+        """Queue a consensus message; an unknown sender is answered at `address`."""
         self._senders[message.sender] = address
         if len(self._inbox) < 10_000:
             self._inbox.append(message)
             self._wake.set()
 
     async def submit(self, command: AnyCommand, timeout: float = SUBMIT_TIMEOUT_S) -> AnyResult:
-        """Have a command committed, and return what applying it answered.
+        """Commit a command and return the result of applying it.
 
-        Raises `NotLeaderError` with the leader's address, or `UnavailableError` if it was not
-        applied in time; then it may still be applied later.
+        Raises `NotLeaderError` with the leader's address, or `UnavailableError` on a timeout, after
+        which the command may still be applied.
         """
         if not self.is_leader:
             raise NotLeaderError(self.leader_address())
@@ -172,15 +172,15 @@
         return waiter.result
 
     async def confirm(self, timeout: float = SUBMIT_TIMEOUT_S) -> int:
-        """Return an index that covers all changes accepted before the call, once it is applied.
+        """Wait until all changes accepted before the call are applied; return their index.
 
         Raises `NotLeaderError` or `UnavailableError`.
         """
         if not self.is_leader:
             raise NotLeaderError(self.leader_address())
-        asked_at = trio.current_time()
-        self._read_numbers += 1
-        number = self._read_numbers
+        requested_at = trio.current_time()
+        self._last_read_number += 1
+        number = self._last_read_number
         waiter = self._reads[number] = _Waiter(self._core.term, trio.Event())
         try:
             self._core.read(number)
@@ -188,16 +188,16 @@
             with trio.move_on_after(timeout):
                 await waiter.event.wait()
                 await self.wait_applied(waiter.index)
-                self._confirmed_at = max(self._confirmed_at, asked_at)
+                self._confirmed_at = max(self._confirmed_at, requested_at)
                 self._confirmed_index = max(self._confirmed_index, waiter.index)
-                self.note_covered(asked_at)
+                self.note_covered(requested_at)
                 return waiter.index
         finally:
             self._reads.pop(number, None)
         raise UnavailableError("no quorum confirmed the leader in time")
 
     def note_covered(self, at: float) -> None:
-        """Note that the applied state holds all that was accepted up to a moment."""
+        """Record that the applied state holds all changes accepted up to a time."""
         self._covered_at = max(self._covered_at, at)
 
     async def wait_applied(self, index: int) -> None:
@@ -216,7 +216,7 @@
             await self._applied_event.wait()
 
     def transfer(self) -> str | None:
-        """Hand leadership to the voter that is furthest on; returns its identity."""
+        """Transfer leadership to the most up-to-date other voter; return its id."""
         if not self.is_leader:
             return None
         others = [v for v in self._core.members.voters if v.id != self._core.id]
@@ -228,7 +228,7 @@
         return target.id
 
     def change_members(self, members: Members) -> None:
-        """Propose a replica set; raises `ConflictError` while another change is under way."""
+        """Propose a replica set; raises `ConflictError` while another change is pending."""
         self._core.change_members(members)
         self._wake.set()
 
@@ -238,7 +238,7 @@
         ids = [member.id for member in core.members.voters + core.members.learners]
         return Replica(
             id=core.id,
-            role="failed" if self._failed else core.role.value,
+            role="failed" if self._failure else core.role.value,
             term=core.term,
             commit=core.commit,
             applied=self._applied,
@@ -250,22 +250,22 @@
         )
 
     async def run(self) -> None:
-        """Run the replica until cancelled; raises `StorageError` once its storage has failed.
+        """Run the replica until cancelled; raises `StorageError` when its storage fails.
 
-        What is on disk is unknown then, so only a new process that reads it anew may go on.
+        The content of the disk is unknown after that, so the process must be restarted.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._join)
             try:
                 while True:
-                    await self._round()
+                    await self._run_once()
             except StorageError as error:
-                self._failed = str(error)
+                self._failure = str(error)
                 self._timeline.record(EventKind.STORAGE_FAILED, self._core.id, str(error))
-                _LOG.error("the replica stops: %s", error)
+                _LOG.error("storage failed, stopping the replica: %s", error)
                 raise
 
-    async def _round(self) -> None:
+    async def _run_once(self) -> None:
         if not (self._inbox or self._proposals or self._core.has_work):
             with trio.move_on_after(_TICK_S):
                 await self._wake.wait()
@@ -276,7 +276,7 @@
         self._core.tick(now)
         self._propose()
         ready = self._core.take()
-        sent_early = self._send_early(ready)
+        sent_early = self._send_before_sync(ready)
         if ready.must_sync or ready.truncate_from is not None:
             await trio.to_thread.run_sync(self._storage.save, ready)
         if ready.snapshot is not None:
@@ -289,12 +289,12 @@
         for number, index in ready.reads:
             self._finish_read(number, index)
         self._note_leader()
-        if self._applied - self._core.snapshot_index >= self._snapshot_every():
+        if self._applied - self._core.snapshot_index >= self._snapshot_interval():
             await self._take_snapshot()
 
-    def _snapshot_every(self) -> int:
-        """Take snapshots less often while they are large, so that they cost a constant part."""
-        return max(SNAPSHOT_EVERY, len(self._machine.claims))
+    def _snapshot_interval(self) -> int:
+        """Return the entries between snapshots; grows with the state to bound the relative cost."""
+        return max(SNAPSHOT_MIN_ENTRIES, len(self._machine.claims))
 
     def _propose(self) -> None:
         while self._proposals:
@@ -306,10 +306,11 @@
             waiter.term = self._core.term
             self._waiting[index] = waiter
 
-    def _send_early(self, ready: Ready) -> bool:
-        """Let followers sync while the leader does; its own copy counts once it is synced.
+    def _send_before_sync(self, ready: Ready) -> bool:
+        """Send a leader's messages before its own sync, so that followers sync in parallel.
 
-        Only what a leader says may go out early: a vote or an acknowledgement must wait.
+        The leader's own copy counts only once it is synced. Votes and acknowledgements must not
+        be sent before the sync.
         """
         if not self._core.is_leader or ready.hard_state is not None:
             return False
@@ -334,7 +335,9 @@
             if entry.kind is EntryKind.COMMAND:
                 result = self._machine.apply(decode_command(entry.data))
             elif entry.kind is EntryKind.MEMBERS:
-                self._timeline.record(EventKind.REPLICAS_CHANGED, self._core.id, _names(self._core))
+                self._timeline.record(
+                    EventKind.REPLICAS_CHANGED, self._core.id, _describe_members(self._core)
+                )
             self._applied = entry.index
             waiter = self._waiting.pop(entry.index, None)
             if waiter is not None and waiter.term == entry.term:
@@ -374,9 +377,9 @@
         self._timeline.record(EventKind.SNAPSHOT_TAKEN, f"index {index}", detail)
 
     async def _join(self) -> None:
-        """Ask to be taken in, while this identity has no vote or hears no leader.
+        """Request to join while this replica is not a voter or has no contact with a leader.
 
-        One that was cut off may have been replaced meanwhile, and hears of it from nobody.
+        A replica that was partitioned may have been replaced without being notified.
         """
         while True:
             voter = self._core.members.is_voter(self._core.id)
@@ -388,7 +391,7 @@
             await trio.sleep(JOIN_INTERVAL_S)
 
 
-def _names(core: Core) -> str:
+def _describe_members(core: Core) -> str:
     voters = ", ".join(member.id for member in core.members.voters)
     learners = ", ".join(member.id for member in core.members.learners)
     return f"voters {voters}" + (f"; learners {learners}" if learners else "")
--- a/src/finchway/control/_server.py
+++ b/src/finchway/control/_server.py
@@ -1,7 +1,7 @@
-"""The control role: it answers peers, and runs the leader's own loops.
+"""The control role: answers peers and runs the leader's background tasks.
 
-Whatever needs the leader raises `NotLeaderError` with the leader's address on another replica;
-`at_leader` follows it, so any replica can serve any request.
+Calls that need the leader raise `NotLeaderError` with its address on other replicas; `at_leader`
+forwards them, so any replica can serve any request.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 import trio
 
 from finchway._clock import WALL
-from finchway.control._feed import FeedDesk
-from finchway.control._repair import ReplicaPlan, with_expected, without_name
+from finchway.control._feed import FeedServer
 from finchway.control._replica import ReplicaRunner
+from finchway.control._replica_set import ReplicaSetPlanner, with_expected, without_name
 from finchway.exceptions import ConflictError, FinchwayError, NotLeaderError, UnavailableError
 from finchway.feed import ReportedRequests, ShareHeard, Subscribe
 from finchway.membership import (
@@ -53,14 +53,14 @@
 
 _LOG = logging.getLogger(__name__)
 CONFIRM_INTERVAL_S = 0.1
-CONFIRM_GOOD_FOR_S = 0.5
-# Seconds between two questions of a follower whether its state is covered, and for one of them;
-# both are well below what a change may take to be in force everywhere (2 s and more).
-COVER_INTERVAL_S = 0.2
-COVER_WITHIN_S = 1.0
+CONFIRMATION_VALID_S = 0.5
+# Interval and timeout of a follower's checks that it has caught up with the leader. Both must stay
+# well below the time allowed for a change to be in force everywhere (2 s or more).
+CATCH_UP_INTERVAL_S = 0.2
+CATCH_UP_TIMEOUT_S = 1.0
 PLAN_INTERVAL_S = 0.1
 FORWARD_TIMEOUT_S = 3.0
-FORMS_WITHIN_S = 8.0
+FORMATION_TIMEOUT_S = 8.0
 PLATFORM_INTERVAL_S = 0.5
 
 PlatformSource = Callable[[], Awaitable[PlatformList]]
@@ -89,8 +89,8 @@
         self._coordinator: Coordinator | None = None
         self._open_to = open_to
         self._started_at = trio.current_time()
-        self._replicas = ReplicaPlan(open_to)
-        self._feed = FeedDesk(runner, link, upstream_heartbeat)
+        self._replicas = ReplicaSetPlanner(open_to)
+        self._feed = FeedServer(runner, link, upstream_heartbeat)
         self._seen_revision = -1
 
     @property
@@ -99,13 +99,13 @@
         return self._runner
 
     @property
-    def feed(self) -> FeedDesk:
-        """What this replica hears, and its answers to gateways."""
+    def feed(self) -> FeedServer:
+        """The feed to gateways."""
         return self._feed
 
     @property
-    def replicas(self) -> ReplicaPlan:
-        """The plan for the replica set."""
+    def replicas(self) -> ReplicaSetPlanner:
+        """The planner of the replica set."""
         return self._replicas
 
     async def run(self) -> None:
@@ -113,7 +113,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._runner.run)
             nursery.start_soon(self._confirm_forever)
-            nursery.start_soon(self._cover_forever)
+            nursery.start_soon(self._catch_up_forever)
             nursery.start_soon(self._plan_forever)
             nursery.start_soon(self._watch_changes)
             nursery.start_soon(self._feed.run)
@@ -121,7 +121,7 @@
                 nursery.start_soon(self._poll_platform, self._platform)
 
     async def handle(self, body: AnyBody, sender: str) -> AnyBody | None:
-        """Answer one message of a peer."""
+        """Handle one message of a peer and return the reply, if it has one."""
         match body:
             case RaftBody(message=message, address=address):
                 self._runner.receive(message, address)
@@ -129,7 +129,7 @@
             case Subscribe():
                 return await self._feed.answer(body)
             case ShareHeard():
-                self._feed.hear_shared(body)
+                self._feed.record_shared_heartbeats(body)
                 return None
             case ReportedRequests(reports=reports):
                 now_ms = WALL.now_ms()
@@ -164,28 +164,28 @@
                 return self._entries()
         raise FinchwayError(f"a control process does not take {type(body).__name__}")
 
-    # For the API, on any replica
+    # Called by the API on any replica
 
     async def submit(self, command: AnyCommand) -> AnyResult:
-        """Have a command committed, by whichever replica leads."""
+        """Commit a command through the current leader."""
         reply = await self.at_leader(Submit(command=command))
         return reply.result
 
     async def confirm(self, within: float = 0.0) -> int:
-        """Bring this replica's state up to every change accepted before the call.
+        """Wait until this replica has applied every change accepted before the call.
 
-        With `within`, changes of the last seconds before the call may be missing.
+        With `within`, changes of the last `within` seconds before the call may be missing.
         """
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
         confirmed = await self.at_leader(Confirm(within=within))
         with trio.move_on_after(FORWARD_TIMEOUT_S):
             await self._runner.wait_applied(confirmed.index)
-            self._runner.note_covered(asked_at - confirmed.age)
+            self._runner.note_covered(requested_at - confirmed.age)
             return self._runner.machine.revision
         raise UnavailableError("this replica is too far behind")
 
     async def at_leader(self, body: AnyBody) -> AnyBody:
-        """Have a message answered by the leader, here or elsewhere.
+        """Return the leader's reply to a message, forwarding it if this replica does not lead.
 
         Raises `UnavailableError` if no leader answers within a few seconds.
         """
@@ -206,7 +206,7 @@
             await trio.sleep(0.05)
 
     async def _confirm_here(self, within: float) -> Confirmed:
-        """Answer from the leader's newest confirmation if it is new enough, else by a new one."""
+        """Reuse the leader's newest confirmation if it is recent enough, else get a new one."""
         runner = self._runner
         age = trio.current_time() - runner.confirmed_at
         if runner.is_leader and age <= within:
@@ -216,25 +216,25 @@
         return Confirmed(revision=runner.machine.revision, index=index)
 
     def _on_heartbeat(self, heartbeat: Heartbeat, with_changes: bool = True) -> HeartbeatReply:
-        coordinator = self._leading()
+        coordinator = self._confirmed_coordinator()
         return coordinator.answer(heartbeat, trio.current_time(), with_changes)
 
-    def _leading(self) -> Coordinator:
-        """Return the coordinator, if a quorum confirmed this leader a moment ago."""
+    def _confirmed_coordinator(self) -> Coordinator:
+        """Return the coordinator; raises unless a quorum has confirmed this leader recently."""
         now = trio.current_time()
         if not self._runner.is_leader or self._coordinator is None:
             raise NotLeaderError(self._runner.leader_address())
-        if now - self._runner.confirmed_at > CONFIRM_GOOD_FOR_S:
+        if now - self._runner.confirmed_at > CONFIRMATION_VALID_S:
             raise UnavailableError("the leader is not confirmed by a quorum at the moment")
         return self._coordinator
 
     def _require_formed(self) -> None:
-        """Let the replica set reach its size first, unless that takes too long.
+        """Reject commands while the replica set forms, up to a timeout.
 
-        A smaller set stands fewer losses than the deployment counts on.
+        A smaller set tolerates fewer failures than the deployment was planned for.
         """
         age = trio.current_time() - self._started_at
-        if age < FORMS_WITHIN_S and len(self._runner.core.members.voters) < self._open_to:
+        if age < FORMATION_TIMEOUT_S and len(self._runner.core.members.voters) < self._open_to:
             raise UnavailableError("the replica set is still forming")
 
     def _record_join(self, join: Join) -> None:
@@ -259,7 +259,7 @@
         return Ok()
 
     def _entries(self) -> Entries:
-        coordinator = self._leading()
+        coordinator = self._confirmed_coordinator()
         now = trio.current_time()
         infos = []
         for instance in self._runner.machine.store.of_kind("instance"):
@@ -279,30 +279,30 @@
             )
         return Entries(revision=self._runner.machine.revision, entries=infos)
 
-    # The leader's loops
+    # Background tasks
 
     async def _confirm_forever(self) -> None:
         while True:
             if self._runner.is_leader:
                 try:
-                    await self._runner.confirm(timeout=CONFIRM_GOOD_FOR_S)
+                    await self._runner.confirm(timeout=CONFIRMATION_VALID_S)
                 except UnavailableError:
-                    _LOG.debug("leadership is not confirmed")
+                    _LOG.debug("no quorum confirmed this leader")
             await trio.sleep(CONFIRM_INTERVAL_S)
 
-    async def _cover_forever(self) -> None:
-        """Keep a follower's state covered; the leader's own confirmations cover the leader's.
+    async def _catch_up_forever(self) -> None:
+        """Confirm a follower's state regularly, so that gateways know how stale it may be.
 
-        Gateways take over what a replica knows, and must know how old it may be.
+        The leader's state is confirmed by `_confirm_forever`.
         """
         while True:
             if not self._runner.is_leader:
-                with trio.move_on_after(COVER_WITHIN_S):
+                with trio.move_on_after(CATCH_UP_TIMEOUT_S):
                     try:
-                        await self.confirm(within=CONFIRM_GOOD_FOR_S)
+                        await self.confirm(within=CONFIRMATION_VALID_S)
                     except FinchwayError as error:
-                        _LOG.debug("this replica's state is not covered: %s", error)
-            await trio.sleep(COVER_INTERVAL_S)
+                        _LOG.debug("cannot catch up with the leader: %s", error)
+            await trio.sleep(CATCH_UP_INTERVAL_S)
 
     async def _plan_forever(self) -> None:
         while True:
@@ -313,7 +313,7 @@
             try:
                 await self._plan_once()
             except UnavailableError as error:
-                _LOG.info("planning waits: %s", error)
+                _LOG.info("planning postponed: %s", error)
 
     async def _plan_once(self) -> None:
         if self._coordinator is None:
@@ -321,13 +321,13 @@
             self._coordinator = Coordinator(
                 self._runner.machine, trio.current_time(), self._lease, self._loans
             )
-        self._leading()
+        self._confirmed_coordinator()
         members = self._replicas.next_members(self._runner.core)
         if members is not None:
             try:
                 self._runner.change_members(members)
             except ConflictError as error:
-                _LOG.debug("replica change waits: %s", error)
+                _LOG.debug("replica set change postponed: %s", error)
         for command in self._coordinator.plan(trio.current_time(), WALL.now_ms()):
             await self._runner.submit(command)
 
@@ -339,13 +339,13 @@
                     if self._coordinator is not None:
                         self._coordinator.platform.record(listing)
                 except FinchwayError as error:
-                    _LOG.info("the platform's list is not to be had: %s", error)
+                    _LOG.info("cannot fetch the platform's instance list: %s", error)
             await trio.sleep(PLATFORM_INTERVAL_S)
 
-    # The time line
+    # Events
 
     async def _watch_changes(self) -> None:
-        """Record what is accepted; only the leader does, so that each change shows once."""
+        """Record accepted changes as events, on the leader only, so that each appears once."""
         while True:
             await self._runner.wait_revision(max(self._seen_revision, 0))
             since = self._seen_revision
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -1,4 +1,4 @@
-"""What operators, upstreams and callers ask of steering; any replica takes any call."""
+"""The steering calls of operators, upstreams and callers, served by any replica."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     Registration,
     UpstreamState,
     check_registration,
-    name_life,
+    incarnation_name,
 )
 from finchway.state import (
     AnyCommand,
@@ -39,20 +39,18 @@
     VersionTaken,
 )
 
-ITEMS_NAMED = 5
-# Seconds since a message of the leader after which the figures say that it is not heard: fifteen of
-# its heartbeats with the usual election time.
-LEADER_HEARD_WITHIN_S = 1.5
-# Seconds between two lines on calls that are refused, and characters of each: another writer may
-# send thousands.
-REFUSED_EVERY_S = 1.0
-REFUSED_SHOWN = 200
+MAX_LOGGED_ITEMS = 5
+# Time without messages from the leader after which the metrics report the contact as lost.
+LEADER_TIMEOUT_S = 1.5
+# Limits the rate and size of log lines on refused calls, since a faulty client may send thousands.
+REFUSED_LOG_INTERVAL_S = 1.0
+MAX_LOGGED_ERROR_CHARS = 200
 
 
 class SteeringService:
     """The steering calls of one replica.
 
-    An answer to a change means that a quorum has it on disk.
+    A change is answered only once a quorum has it on disk.
     """
 
     def __init__(
@@ -61,22 +59,24 @@
         self._control = control
         self._decisions = decisions
         self._metrics = metrics
-        self._pressed: set[str] = set()
-        self._refused_at = float("-inf")
+        self._congested_zones: set[str] = set()
+        self._refusal_logged_at = float("-inf")
 
     @property
     def control(self) -> ControlServer:
-        """The control role that the calls go to."""
+        """The control role that handles the calls."""
         return self._control
 
     async def change_items(self, items: list[Item]) -> int:
-        """Set and drop items as one unit; returns the steering revision that has them.
+        """Set and delete items atomically; return the steering revision of the change.
 
-        Raises `ResourceError` with all findings, or `ConflictError` if a version is taken by
-        other content; nothing is in force then. `UnavailableError` leaves it open.
+        Raises `ResourceError` with all findings, or `ConflictError` if a version exists with other
+        content; nothing is changed then. After `UnavailableError`, the outcome is unknown.
         """
-        subject = ", ".join(f"{item.key} version {item.version}" for item in items[:ITEMS_NAMED])
-        with self._noted("change", subject):
+        subject = ", ".join(
+            f"{item.key} version {item.version}" for item in items[:MAX_LOGGED_ITEMS]
+        )
+        with self._log_order("change", subject):
             result = await self._submit(ChangeItems(now_ms=WALL.now_ms(), items=items))
             match result:
                 case Rejected(findings=findings):
@@ -87,47 +87,47 @@
             return result.revision
 
     async def read_items(self) -> list[Item]:
-        """Return all items that stand, not older than any change accepted before the call."""
+        """Return all current items, including every change accepted before the call."""
         await self._control.confirm()
         return self._control.runner.machine.steering.catalog.standing()
 
     async def hear(self, registration: Registration) -> None:
-        """Take in an upstream's heartbeat; one that says that it leaves is committed first.
+        """Record an upstream's heartbeat; a draining state is committed before it returns.
 
-        Raises `ResourceError` for one that is not to be believed.
+        Raises `ResourceError` for an invalid heartbeat.
         """
         self._metrics.count_heartbeat()
-        self._check(registration)
-        if not self._control.feed.hear(registration):
-            self._note_late(registration)
+        self._check_heartbeat(registration)
+        if not self._control.feed.record_heartbeat(registration):
+            self._log_late_heartbeat(registration)
         if registration.state is UpstreamState.DRAINING:
-            await self._mark(registration.instance, registration.born, MarkKind.DRAINING)
+            await self._commit_mark(registration.instance, registration.born, MarkKind.DRAINING)
 
     async def deregister(self, instance: str, born: int = 0) -> None:
-        """Note that a life of an upstream is gone: if it is not told which, that heard last."""
-        heard = self._control.feed.registry.get(instance)
-        if heard is not None and not (born and heard.registration.born):
-            born = heard.registration.born
-        await self._mark(instance, born, MarkKind.GONE)
+        """Mark an incarnation of an upstream as gone, by default the one seen last."""
+        known = self._control.feed.registry.get(instance)
+        if known is not None and not (born and known.registration.born):
+            born = known.registration.born
+        await self._commit_mark(instance, born, MarkKind.GONE)
 
     async def evacuate(self, zone: str, active: bool) -> None:
         """Begin or end the evacuation of a zone."""
-        with self._noted("evacuate" if active else "readmit", f"zone/{zone}"):
+        with self._log_order("evacuate" if active else "readmit", f"zone/{zone}"):
             await self._submit(SetEvacuation(now_ms=WALL.now_ms(), zone=zone, active=active))
 
     async def release(self, request: str) -> None:
-        """Have a request that is suspected of ending upstreams sent to them again.
+        """Release a request that is suspected of crashing upstreams.
 
-        Raises `NotFoundError` if nothing speaks against it.
+        Raises `NotFoundError` if it is not suspected.
         """
-        held = self._control.runner.machine.steering.suspects.get(request)
-        if held is None or not held.is_current:
+        suspect = self._control.runner.machine.steering.suspects.get(request)
+        if suspect is None or not suspect.is_current:
             raise NotFoundError(
                 f"no request {request!r} is suspected of ending upstreams",
                 "the list of suspects in `finchway steering` has the digests",
             )
         report = RequestReport(request, answered=True)
-        with self._noted("release", f"request/{request}"):
+        with self._log_order("release", f"request/{request}"):
             await self._submit(ReportRequests(now_ms=WALL.now_ms(), reports=[report]))
 
     def gateways(self, host: str, region: str, zone: str) -> list[str]:
@@ -137,20 +137,19 @@
             name for route in catalog.routes_of_host(host) for name in route.allowed_regions
         )
         now = trio.current_time()
-        book = self._control.feed.gateways
-        beats = [heard.beat for heard in book.live(now)]
-        is_pressed = book.is_pressed(zone, now)
-        self._note_pressed(zone, is_pressed)
-        named = choose_gateways(beats, region, zone, allowed, is_pressed)
-        if not named:
+        table = self._control.feed.gateways
+        heartbeats = [gateway.heartbeat for gateway in table.live(now)]
+        is_congested = table.is_congested(zone, now)
+        self._log_congestion(zone, is_congested)
+        addresses = choose_gateways(heartbeats, region, zone, allowed, is_congested)
+        if not addresses:
             raise UnavailableError("no gateway is known to be ready")
-        return named
+        return addresses
 
-    def _check(self, registration: Registration) -> None:
-        """Refuse a heartbeat out of bounds, or of a service that is not configured.
+    def _check_heartbeat(self, registration: Registration) -> None:
+        """Refuse a heartbeat with invalid fields, or of a service that is not configured.
 
-        An upstream may start before its service is: its next heartbeat after that is taken. One
-        that was taken once is heard until it ends, also when its service is dropped.
+        An upstream that is already registered stays accepted when its service is deleted.
         """
         findings = check_registration(registration)
         catalog = self._control.runner.machine.steering.catalog
@@ -161,17 +160,19 @@
             raise ResourceError(findings, "heartbeat")
 
     def note_refused(self, call: str, error: FinchwayError) -> None:
-        """Count a call that could not be believed or read; log one a second at most."""
+        """Count an invalid call; log it at a limited rate."""
         self._metrics.count_refused(call)
         now = trio.current_time()
-        if now - self._refused_at < REFUSED_EVERY_S:
+        if now - self._refusal_logged_at < REFUSED_LOG_INTERVAL_S:
             return
-        self._refused_at = now
+        self._refusal_logged_at = now
         self._decisions.write(
-            BeliefChanged(subject=call, now="refused", source=error.message[:REFUSED_SHOWN])
+            BeliefChanged(
+                subject=call, now="refused", source=error.message[:MAX_LOGGED_ERROR_CHARS]
+            )
         )
 
-    def _note_late(self, registration: Registration) -> None:
+    def _log_late_heartbeat(self, registration: Registration) -> None:
         self._decisions.write(
             BeliefChanged(
                 subject=f"upstream/{registration.life}",
@@ -180,27 +181,27 @@
             )
         )
 
-    def _note_pressed(self, zone: str, is_pressed: bool) -> None:
-        """Log when callers of a zone begin, or cease, to be named its whole region's gateways."""
-        if is_pressed == (zone in self._pressed):
+    def _log_congestion(self, zone: str, is_congested: bool) -> None:
+        """Log when a zone's gateways become congested, and when they no longer are."""
+        if is_congested == (zone in self._congested_zones):
             return
-        self._pressed ^= {zone}
-        now, before = ("pressed", "not pressed") if is_pressed else ("not pressed", "pressed")
+        self._congested_zones ^= {zone}
+        now, before = ("pressed", "not pressed") if is_congested else ("not pressed", "pressed")
         self._decisions.write(
             BeliefChanged(subject=f"zone/{zone}", now=now, before=before, source="gateways")
         )
 
-    async def _mark(self, instance: str, born: int, kind: MarkKind) -> None:
-        life = name_life(instance, born)
-        held = self._control.runner.machine.steering.marks.get(life)
-        if held is not None and (held.kind is kind or held.kind is MarkKind.GONE):
+    async def _commit_mark(self, instance: str, born: int, kind: MarkKind) -> None:
+        incarnation = incarnation_name(instance, born)
+        current = self._control.runner.machine.steering.marks.get(incarnation)
+        if current is not None and (current.kind is kind or current.kind is MarkKind.GONE):
             return
         command = MarkUpstream(now_ms=WALL.now_ms(), instance=instance, kind=kind, born=born)
-        with self._noted(kind.value, f"upstream/{life}"):
+        with self._log_order(kind.value, f"upstream/{incarnation}"):
             await self._submit(command)
 
     def render_metrics(self) -> bytes:
-        """Return the replica's figures in the Prometheus text form."""
+        """Return the replica's metrics in the Prometheus text format."""
         now = trio.current_time()
         runner = self._control.runner
         feed = self._control.feed
@@ -208,7 +209,7 @@
             ReplicaState(
                 is_leader=runner.is_leader,
                 covered_age_s=round(now - runner.covered_at, 3),
-                hears_leader=runner.core.heard_leader_within(LEADER_HEARD_WITHIN_S),
+                hears_leader=runner.core.heard_leader_within(LEADER_TIMEOUT_S),
                 voters=len(runner.core.members.voters),
                 applied=runner.applied,
                 revision=runner.machine.steering.revision,
@@ -222,8 +223,8 @@
         )
 
     @contextmanager
-    def _noted(self, order: str, subject: str) -> Iterator[None]:
-        """Log and count an order with how it ends."""
+    def _log_order(self, order: str, subject: str) -> Iterator[None]:
+        """Log and count an order with its outcome."""
         started = trio.current_time()
         outcome, detail = "open", "cut short"
         try:
--- a/src/finchway/control/_steering_api.py
+++ b/src/finchway/control/_steering_api.py
@@ -1,4 +1,4 @@
-"""The calls of the resource API for gateways: items, upstreams, evacuations, the directory."""
+"""The steering part of the resource API: items, upstreams, evacuations, gateway directory."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class UpstreamRow(Struct, frozen=True):
-    """An upstream as a replica knows it; `age_s` is that of its newest heartbeat."""
+    """An upstream as seen by one replica; `age_s` is the age of its newest heartbeat."""
 
     instance: str
     service: str
@@ -46,7 +46,7 @@
 
 
 class GatewayRow(Struct, frozen=True):
-    """A gateway as a replica hears it, with the steering revision that it has in force."""
+    """A gateway as seen by one replica, with the steering revision that it applies."""
 
     name: str
     address: str
@@ -59,7 +59,7 @@
 
 
 class SuspectRow(Struct, frozen=True):
-    """A request under which upstreams have ended; `seconds` is how long it stays so at most."""
+    """A request suspected of crashing upstreams; `seconds` is the time until that expires."""
 
     request: str
     state: str
@@ -69,7 +69,7 @@
 
 
 class SteeringView(Struct, frozen=True):
-    """How steering stands at one replica."""
+    """The steering state as seen by one replica."""
 
     revision: int
     items: list[dict[str, Any]]
@@ -80,23 +80,23 @@
 
 
 class SteeringApi:
-    """Answers the calls below `/v1/steering`, each already authorised."""
+    """Serves the calls below `/v1/steering`, which the caller has authorised."""
 
     def __init__(self, service: SteeringService) -> None:
         self._service = service
 
     async def read(self, parts: list[str], query: dict[str, str]) -> Any:
-        """Answer a call that changes nothing."""
+        """Serve a read-only call."""
         match parts:
             case []:
                 return await self._view()
             case ["gateways"]:
-                asked = [query.get(name, "") for name in ("host", "region", "zone")]
-                return {"addresses": self._service.gateways(*asked)}
+                caller = [query.get(name, "") for name in ("host", "region", "zone")]
+                return {"addresses": self._service.gateways(*caller)}
         raise NotFoundError(f"no such path below /v1/steering: {'/'.join(parts)}")
 
     async def change(self, method: str, parts: list[str], body: bytes) -> Any:
-        """Answer a call that changes something; the answer means that it is committed."""
+        """Serve a call that changes state; it returns once the change is committed."""
         try:
             return await self._change(method, parts, body)
         except InputError as error:
@@ -138,42 +138,42 @@
             sorted(steering.evacuated),
             [
                 UpstreamRow(
-                    heard.registration.instance,
-                    heard.registration.service,
-                    heard.registration.address,
-                    heard.registration.zone,
-                    heard.registration.slots,
-                    _state(heard.registration, steering),
-                    round(now - heard.heard_at, 3),
+                    upstream.registration.instance,
+                    upstream.registration.service,
+                    upstream.registration.address,
+                    upstream.registration.zone,
+                    upstream.registration.slots,
+                    _state(upstream.registration, steering),
+                    round(now - upstream.heard_at, 3),
                 )
-                for heard in control.feed.registry.all()
+                for upstream in control.feed.registry.all()
             ],
             [
                 GatewayRow(
-                    heard.beat.name,
-                    heard.beat.address,
-                    heard.beat.zone,
-                    heard.beat.region,
-                    heard.beat.ready,
-                    heard.beat.leaving,
-                    heard.beat.revision,
-                    heard.age,
+                    gateway.heartbeat.name,
+                    gateway.heartbeat.address,
+                    gateway.heartbeat.zone,
+                    gateway.heartbeat.region,
+                    gateway.heartbeat.ready,
+                    gateway.heartbeat.leaving,
+                    gateway.heartbeat.revision,
+                    gateway.age,
                 )
-                for heard in control.feed.gateways.live(now)
+                for gateway in control.feed.gateways.live(now)
             ],
             [_suspect_row(suspect) for suspect in steering.suspects.all if suspect.is_current],
         )
 
 
 def item_document(item: Item) -> dict[str, Any]:
-    """Return an item as operators write it."""
+    """Return an item in the form that operators write."""
     spec = msgspec.to_builtins(item.spec)
     spec.pop("item", None)
     return {"kind": item.kind.value, "name": item.name, "version": item.version, "spec": spec}
 
 
 def parse_items(document: Any) -> list[Item]:
-    """Return the items of a document; raises `ResourceError` with every finding and its place.
+    """Parse the items of a document; raises `ResourceError` with all findings.
 
     parse_items([{"kind": "limits", "name": "limits", "version": 1, "spec": {}}])
     """
--- a/src/finchway/feed/__init__.py
+++ b/src/finchway/feed/__init__.py
@@ -1,12 +1,12 @@
-"""The feed from control to gateways: what is committed, and what upstreams and gateways say.
+"""The feed from control to gateways: committed state and heartbeats of upstreams and gateways.
 
-A gateway keeps one question open at every replica that it knows, so a commit reaches it at once,
-and losing any one replica changes nothing. Everything it takes in only ever moves forward.
+A gateway long-polls every replica that it knows, so that a commit reaches it at once and the loss
+of any one replica has no effect. The state that it merges never goes back.
 """
 
-from finchway.feed._book import GatewayBook, HeardGateway
+from finchway.feed._cluster_view import World
 from finchway.feed._directory import choose_gateways
-from finchway.feed._fellows import Fellows
+from finchway.feed._gateway_table import GatewayStatus, GatewayTable
 from finchway.feed._messages import (
     Feed,
     GatewayBeat,
@@ -20,15 +20,15 @@
     ShareHeard,
     Subscribe,
 )
-from finchway.feed._world import World
+from finchway.feed._peer_gateways import Fellows
 
 __all__ = [
     "Feed",
     "Fellows",
     "GatewayBeat",
-    "GatewayBook",
+    "GatewayTable",
     "GatewayPeer",
-    "HeardGateway",
+    "GatewayStatus",
     "HeardUpstream",
     "RegionDemand",
     "ReplicaAddress",
--- a/src/finchway/feed/_directory.py
+++ b/src/finchway/feed/_directory.py
@@ -1,12 +1,12 @@
-"""Which gateways a caller is told to use."""
+"""Selection of the gateways that are returned to a caller."""
 
 from __future__ import annotations
 
 from finchway.feed._messages import GatewayBeat
 
-MOST_NAMED = 64
-LEAST_NAMED = 2
-FAIR_PART = 0.75
+MAX_GATEWAYS = 64
+MIN_ZONE_GATEWAYS = 2
+MIN_ZONE_FRACTION = 0.75
 
 
 def choose_gateways(
@@ -14,23 +14,21 @@
     region: str,
     zone: str,
     allowed: frozenset[str],
-    is_pressed: bool = False,
+    is_congested: bool = False,
 ) -> list[str]:
-    """Return addresses for a caller of a zone: its own zone's gateways, its region's, or others'.
+    """Return gateway addresses for a caller: those of its zone, else its region, else others.
 
-    A zone's callers ask for the same things, so few gateways see each of them and know best what
-    they have sent. A single gateway is not named alone, since its callers would all lose it; nor
-    are those of a zone that has lost many, or that is pressed, since its callers are too much for
-    them while others of the region may have room.
-    `allowed` are the regions that the caller's requests may pass through beside its own; empty
-    means all. Gateways that leave or have no configuration are not named while there are others.
+    A zone's own gateways are preferred, since callers of a zone send similar requests and affinity
+    works best with few gateways. The whole region is used if the zone has too few gateways or is
+    congested. `allowed` are the other regions that the caller's requests may pass through; empty
+    means all. Gateways that are leaving or not ready are excluded.
     """
-    serving = [beat for beat in gateways if beat.ready and not beat.leaving]
-    near = [beat for beat in serving if beat.region == region]
-    if not near:
-        near = [beat for beat in serving if not allowed or beat.region in allowed]
-    own = [beat for beat in near if beat.zone == zone]
-    mean = len(near) / max(1, len({beat.zone for beat in near}))
-    if not is_pressed and len(own) >= max(LEAST_NAMED, FAIR_PART * mean):
-        near = own
-    return [beat.address for beat in sorted(near, key=lambda b: b.name)[:MOST_NAMED]]
+    serving = [gateway for gateway in gateways if gateway.ready and not gateway.leaving]
+    candidates = [gateway for gateway in serving if gateway.region == region]
+    if not candidates:
+        candidates = [gateway for gateway in serving if not allowed or gateway.region in allowed]
+    in_zone = [gateway for gateway in candidates if gateway.zone == zone]
+    mean = len(candidates) / max(1, len({gateway.zone for gateway in candidates}))
+    if not is_congested and len(in_zone) >= max(MIN_ZONE_GATEWAYS, MIN_ZONE_FRACTION * mean):
+        candidates = in_zone
+    return [gateway.address for gateway in sorted(candidates, key=lambda b: b.name)[:MAX_GATEWAYS]]
--- a/src/finchway/feed/_messages.py
+++ b/src/finchway/feed/_messages.py
@@ -10,19 +10,19 @@
 
 
 class ServiceRate(Struct, frozen=True, array_like=True):
-    """Requests a second that callers ask of a service at one gateway."""
+    """The rate in requests per second for a service at one gateway."""
 
     service: str
     rate: float
 
 
 class GatewayBeat(Struct, frozen=True, kw_only=True):
-    """What a gateway says of itself.
+    """A gateway's heartbeat.
 
-    `address` is for callers and `peer` for finchway's processes. `leaving` means that it must not
-    be named to callers any more; `revision` is the steering revision that it has in force.
-    `pressed` tells that its link is full: even the quickest answer of control is long on the way.
-    `limits` are what upstreams have told it that they take.
+    `address` is for callers and `peer` for finchway's processes. `leaving` excludes it from the
+    directory; `revision` is the steering revision that it applies. `pressed` means that its link
+    is congested, judged by the latency of control's answers. `limits` are the request rates that
+    upstreams have returned to it.
     """
 
     name: str
@@ -41,7 +41,7 @@
 
 
 class RegionDemand(Struct, frozen=True, array_like=True):
-    """Requests a second that the callers of a region ask of a service, over all its gateways."""
+    """The rate in requests per second for a service, over all gateways of a region."""
 
     region: str
     service: str
@@ -56,7 +56,7 @@
 
 
 class GatewayPeer(Struct, frozen=True, array_like=True):
-    """A gateway, where it is reached by other processes, and its region."""
+    """A gateway with its peer address and region."""
 
     name: str
     address: str
@@ -64,17 +64,17 @@
 
 
 class ReplicaAddress(Struct, frozen=True, array_like=True):
-    """A replica and where it is reached by other processes."""
+    """A replica with its peer address."""
 
     name: str
     address: str
 
 
 class Roster(Struct, frozen=True, kw_only=True):
-    """Who is there, as one replica sees it; it is sent whole, and only when it has changed.
+    """The live processes as seen by one replica; sent in full, and only when it has changed.
 
-    `serving` are the gateways that take callers, in order of their names; `silent` are the lives
-    of upstreams whose heartbeats stopped; `version` counts this replica process's changes.
+    `serving` are the gateways that accept callers, sorted by name; `silent` are the incarnations
+    of upstreams without recent heartbeats; `version` counts the changes in this replica process.
     """
 
     version: int = 0
@@ -84,11 +84,12 @@
 
 
 class Subscribe(Struct, frozen=True, kw_only=True, tag=True):
-    """Ask a replica for what is newer; it answers at once, or when something comes up.
+    """A gateway's long poll of a replica for changes.
 
-    `life` names the replica process that `order` and `roster` belong to; another process starts
-    anew. `demand` asks for the regions' demand as well, and `rest` for what the last answer left
-    out, at once. `limits` tells which news of upstreams' limits are known.
+    `life` identifies the replica process that `order` and `roster` refer to; another process
+    ignores them and sends everything. `demand` requests the regions' demand as well, and `rest`
+    the remainder of the last answer, without delay. `limits` is the position up to which changes
+    of upstreams' limits are known.
     """
 
     beat: GatewayBeat
@@ -102,14 +103,13 @@
 
 
 class Feed(Struct, frozen=True, kw_only=True, tag=True):
-    """What is newer than the question says; `image` holds only that part of the steering state.
-
-    `upstreams` are those that are new or say something new of themselves, `roster` is there if
-    it is another than the question's, and `demand` if it was asked for. `held` is how long the
-    question waited for news. What was accepted `age` seconds before the answer was sent, and
-    earlier, is in the replica's state for sure; infinite if no leader has confirmed it yet.
-    `more` tells that there are further upstreams, which the next answer goes on with after `order`.
-    `limits` are what upstreams have newly told any gateway that they take, if there is such news.
+    """The changes since the position in a request; `image` holds the newer steering state.
+
+    `upstreams` are those that are new or have changed; `roster` is set if it differs from the
+    requested version, and `demand` if it was requested. `held` is how long the request was held
+    open. Every change accepted `age` seconds before the answer was sent, or earlier, is included;
+    it is infinite if no leader has confirmed the state yet. With `more`, the next answer continues
+    with the upstreams after `order`. `limits` are upstreams' changed limits, if there are any.
     """
 
     life: str
@@ -125,12 +125,12 @@
 
 
 class ReportedRequests(Struct, frozen=True, kw_only=True, tag=True):
-    """Have reports on requests under which upstreams ended committed."""
+    """A request to commit reports on requests during which upstreams crashed."""
 
     reports: list[RequestReport]
 
 
 class ShareHeard(Struct, frozen=True, kw_only=True, tag=True):
-    """Pass on to fellow replicas the heartbeats of upstreams that were heard here."""
+    """Upstreams' heartbeats that a replica passes on to its peers."""
 
     upstreams: list[HeardUpstream]
--- a/src/finchway/registry/__init__.py
+++ b/src/finchway/registry/__init__.py
@@ -1,19 +1,25 @@
-"""Upstreams that register themselves by heartbeat, and the marks of those that leave."""
+"""Upstreams registered by heartbeat, and the marks of those that are draining or gone."""
 
-from finchway.registry._addresses import AddressHolders
+from finchway.registry._addresses import AddressOwners
 from finchway.registry._check import LARGEST_COUNT, check_registration
-from finchway.registry._registry import Heard, Registry
-from finchway.registry._upstream import Mark, MarkKind, Registration, UpstreamState, name_life
+from finchway.registry._registry import ReceivedHeartbeat, Registry
+from finchway.registry._upstream import (
+    Mark,
+    MarkKind,
+    Registration,
+    UpstreamState,
+    incarnation_name,
+)
 
 __all__ = [
     "LARGEST_COUNT",
-    "AddressHolders",
-    "Heard",
+    "AddressOwners",
+    "ReceivedHeartbeat",
     "Mark",
     "MarkKind",
     "Registration",
     "Registry",
     "UpstreamState",
     "check_registration",
-    "name_life",
+    "incarnation_name",
 ]
--- a/src/finchway/registry/_addresses.py
+++ b/src/finchway/registry/_addresses.py
@@ -1,7 +1,7 @@
-"""Which life of an upstream has each address.
+"""Tracks which incarnation of an upstream owns each address.
 
-Only one process listens at an address, so a life that registers there ends the one before it. A
-heartbeat may be held up on its way until after that, and must not bring its sender back.
+Only one process can listen at an address, so an incarnation that registers there replaces the
+previous one. A delayed heartbeat of the previous one must not undo that.
 """
 
 from __future__ import annotations
@@ -11,52 +11,52 @@
 from finchway.registry._upstream import Registration
 
 
-class _Holder(Struct):
-    """The life that has an address, and when it was heard last."""
+class _Owner(Struct):
+    """The incarnation that owns an address, and the time of its last heartbeat."""
 
     registration: Registration
-    heard_at: float
+    received_at: float
 
 
-class AddressHolders:
-    """The life at each address; it has it for as long as it is heard.
+class AddressOwners:
+    """The incarnation that owns each address, for as long as its heartbeats arrive.
 
-    One that was replaced can have been the living one after all, if a late heartbeat was the first
-    that was heard of the other: it has the address again once the other is silent for `held_for`.
+    If the first heartbeat seen of an owner was a delayed one of a dead incarnation, the live one
+    gets the address back once the owner has been silent for `owner_timeout` seconds.
     """
 
-    def __init__(self, held_for: float) -> None:
-        self._held_for = held_for
-        self._holders: dict[str, _Holder] = {}
+    def __init__(self, owner_timeout: float) -> None:
+        self._owner_timeout = owner_timeout
+        self._owners: dict[str, _Owner] = {}
 
-    def take(self, registration: Registration, heard_at: float, is_known: bool) -> bool:
-        """Give the address to the sender of a heartbeat; False if another has it.
+    def claim(self, registration: Registration, received_at: float, is_known: bool) -> bool:
+        """Assign the address to the sender of a heartbeat; return False if another owns it.
 
-        Of two that say when they were born, the later one has it. Otherwise a sender that is not
-        known yet has started after the holder, if it was heard after it.
+        Of two incarnations with known start times, the later one owns it. Otherwise a sender that
+        is not known yet replaces the owner if its heartbeat is newer.
         """
-        holder = self._holders.get(registration.address)
-        if holder is not None and holder.registration.life != registration.life:
-            is_heard = heard_at - holder.heard_at < self._held_for
-            if is_heard and not self._comes_after(holder, registration, heard_at, is_known):
+        owner = self._owners.get(registration.address)
+        if owner is not None and owner.registration.life != registration.life:
+            is_live = received_at - owner.received_at < self._owner_timeout
+            if is_live and not self._is_successor(owner, registration, received_at, is_known):
                 return False
-        self._holders[registration.address] = _Holder(registration, heard_at)
+        self._owners[registration.address] = _Owner(registration, received_at)
         return True
 
-    def has(self, registration: Registration) -> bool:
-        """Tell whether a life has the address that it registered."""
-        holder = self._holders.get(registration.address)
-        return holder is None or holder.registration.life == registration.life
+    def owns(self, registration: Registration) -> bool:
+        """Return whether an incarnation owns the address that it registered."""
+        owner = self._owners.get(registration.address)
+        return owner is None or owner.registration.life == registration.life
 
     def release(self, registration: Registration) -> None:
-        """Forget a life."""
-        if self.has(registration):
-            self._holders.pop(registration.address, None)
+        """Release the address of an incarnation, if it owns it."""
+        if self.owns(registration):
+            self._owners.pop(registration.address, None)
 
-    def _comes_after(
-        self, holder: _Holder, registration: Registration, heard_at: float, is_known: bool
+    def _is_successor(
+        self, owner: _Owner, registration: Registration, received_at: float, is_known: bool
     ) -> bool:
-        held = holder.registration
-        if held.born and registration.born and held.born != registration.born:
-            return registration.born > held.born
-        return not is_known and heard_at >= holder.heard_at
+        current = owner.registration
+        if current.born and registration.born and current.born != registration.born:
+            return registration.born > current.born
+        return not is_known and received_at >= owner.received_at
--- a/src/finchway/registry/_registry.py
+++ b/src/finchway/registry/_registry.py
@@ -1,8 +1,8 @@
-"""The newest heartbeat of each upstream, with the time at which it was heard.
+"""The newest heartbeat of each upstream, with the time at which it arrived.
 
-Heartbeats are not committed: each replica passes on what it hears, and an upstream that a new
-replica does not know is back within one heartbeat. Most heartbeats only repeat what the one
-before them said; the order of changes leaves these out.
+Heartbeats are not committed: replicas pass them on to each other, and a replica that has just
+started knows every upstream within one heartbeat interval. Heartbeats that only repeat the previous
+one do not count as changes.
 """
 
 from __future__ import annotations
@@ -10,20 +10,19 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from finchway.registry._addresses import AddressHolders
+from finchway.registry._addresses import AddressOwners
 from finchway.registry._upstream import Registration
 
 COLD_TOLERANCE_S = 0.3
-# Seconds of silence of a later life until an earlier one of the same id is believed again: longer
-# than heartbeats are known to be held up on their way, short enough that an upstream whose clock
-# was set back is used again within seconds.
-LATER_LIFE_HEARD_S = 5.0
+# Silence of a later incarnation after which an earlier one of the same id is accepted again, as
+# happens when an upstream's clock was set back. Must exceed the delay of heartbeats in transit.
+LATER_INCARNATION_TIMEOUT_S = 5.0
 
 
-class Heard(Struct, frozen=True):
-    """A registration, when it was heard (steady clock, seconds), and its place in the order.
+class ReceivedHeartbeat(Struct, frozen=True):
+    """A registration, its arrival (monotonic clock, seconds) and its position in the changes.
 
-    `cold_until` is when it stops being cold as it was told when it took its place.
+    `cold_until` is the end of its cold start, as of its last change.
     """
 
     registration: Registration
@@ -33,114 +32,122 @@
 
 
 class Registry:
-    """Registrations by instance, in the order in which they last said something new.
+    """Registrations by instance, in the order of their last change.
 
-    With `holders`, an incarnation that was replaced at its address is silent from then on.
+    With `owners`, an incarnation that was replaced at its address counts as silent.
     """
 
-    def __init__(self, forget_after: float, holders: AddressHolders | None = None) -> None:
-        self._forget_after = forget_after
-        self._holders = holders
-        self._heard: dict[str, Heard] = {}
+    def __init__(self, retention: float, owners: AddressOwners | None = None) -> None:
+        self._retention = retention
+        self._owners = owners
+        self._newest: dict[str, ReceivedHeartbeat] = {}
         self._order = 0
 
     @property
     def order(self) -> int:
-        """The place of the newest change."""
+        """The position of the newest change."""
         return self._order
 
     def __len__(self) -> int:
-        return len(self._heard)
+        return len(self._newest)
 
-    def record(self, registration: Registration, heard_at: float) -> bool:
-        """Take in a heartbeat; False for one that came late, which is passed over.
+    def record(self, registration: Registration, received_at: float) -> bool:
+        """Record a heartbeat; return False if it is out of date and ignored.
 
-        It has come late if a newer one of its sender was heard, or if its sender was replaced.
+        It is out of date if a newer one of its sender is known, or if its sender was replaced.
         """
         instance = registration.instance
-        held = self._heard.get(instance)
-        if held is not None and not registration.born:
-            # One that does not tell its start is no other life than the one that is known.
-            registration = replace(registration, born=held.registration.born)
-        if held is not None and self._is_late(held, registration, heard_at):
+        known = self._newest.get(instance)
+        if known is not None and not registration.born:
+            # Without a start time, it belongs to the known incarnation.
+            registration = replace(registration, born=known.registration.born)
+        if known is not None and self._is_late(known, registration, received_at):
             return False
-        if self._holders and not self._holders.take(registration, heard_at, held is not None):
+        if self._owners and not self._owners.claim(registration, received_at, known is not None):
             return False
-        cold_until = heard_at + registration.cold_for
-        if held is not None and _repeats(held, registration, heard_at, cold_until):
-            self._heard[instance] = Heard(registration, heard_at, held.order, held.cold_until)
+        cold_until = received_at + registration.cold_for
+        if known is not None and _is_repeat(known, registration, received_at, cold_until):
+            self._newest[instance] = ReceivedHeartbeat(
+                registration, received_at, known.order, known.cold_until
+            )
             return True
         self._order += 1
-        self._heard.pop(instance, None)
-        self._heard[instance] = Heard(registration, heard_at, self._order, cold_until)
+        self._newest.pop(instance, None)
+        self._newest[instance] = ReceivedHeartbeat(
+            registration, received_at, self._order, cold_until
+        )
         return True
 
-    def _is_late(self, held: Heard, registration: Registration, heard_at: float) -> bool:
-        """Tell whether a heartbeat is older than the one that is held of its instance.
+    def _is_late(
+        self, known: ReceivedHeartbeat, registration: Registration, received_at: float
+    ) -> bool:
+        """Return whether a heartbeat is older than the known one of its instance.
 
-        An earlier life is over, unless the later one falls silent and the earlier is heard after
-        that: then the upstream's clock was set back between its two lives.
+        An incarnation with an earlier start time is accepted only if the later one is silent: then
+        the upstream's clock was set back between the two.
         """
-        earlier = held.registration
+        earlier = known.registration
         if registration.born == earlier.born:
             return earlier.sequence >= registration.sequence
         if registration.born > earlier.born:
             return False
-        return heard_at - held.heard_at < LATER_LIFE_HEARD_S
+        return received_at - known.heard_at < LATER_INCARNATION_TIMEOUT_S
 
     def remove(self, instance: str) -> None:
-        """Forget an upstream."""
-        heard = self._heard.pop(instance, None)
-        if heard is not None and self._holders is not None:
-            self._holders.release(heard.registration)
+        """Remove an upstream and release its address."""
+        received = self._newest.pop(instance, None)
+        if received is not None and self._owners is not None:
+            self._owners.release(received.registration)
 
-    def get(self, instance: str) -> Heard | None:
-        """Return what was heard last of an upstream."""
-        return self._heard.get(instance)
+    def get(self, instance: str) -> ReceivedHeartbeat | None:
+        """Return the newest heartbeat of an upstream."""
+        return self._newest.get(instance)
 
-    def all(self) -> list[Heard]:
-        """Return everything that is known, in the order of changes."""
-        return list(self._heard.values())
+    def all(self) -> list[ReceivedHeartbeat]:
+        """Return all upstreams, in the order of changes."""
+        return list(self._newest.values())
 
-    def since(self, order: int) -> list[Heard]:
-        """Return what has said something new after a place in the order."""
+    def since(self, order: int) -> list[ReceivedHeartbeat]:
+        """Return the upstreams that have changed after a position, in order."""
         newer = []
-        for heard in reversed(self._heard.values()):
-            if heard.order <= order:
+        for received in reversed(self._newest.values()):
+            if received.order <= order:
                 break
-            newer.append(heard)
+            newer.append(received)
         newer.reverse()
         return newer
 
-    def silent(self, now: float, silent_after: float) -> list[Heard] | None:
-        """Return the upstreams that have not been heard for a while, or that were replaced.
+    def silent(self, now: float, silent_after: float) -> list[ReceivedHeartbeat] | None:
+        """Return the upstreams without recent heartbeats, or that were replaced.
 
-        None if no upstream has: then it may be this process that hears nothing.
+        None if that applies to all: then this process itself may be cut off.
         """
         oldest = now - silent_after
         silent = [
-            heard
-            for heard in self._heard.values()
-            if heard.heard_at < oldest or self._was_replaced(heard)
+            received
+            for received in self._newest.values()
+            if received.heard_at < oldest or self._was_replaced(received)
         ]
-        return silent if len(silent) < len(self._heard) else None
+        return silent if len(silent) < len(self._newest) else None
 
     def forget_silent(self, now: float) -> list[str]:
-        """Drop the upstreams that have been silent for long; returns their names."""
-        oldest = now - self._forget_after
-        silent = [name for name, heard in self._heard.items() if heard.heard_at < oldest]
+        """Remove upstreams that have been silent for long; return their names."""
+        oldest = now - self._retention
+        silent = [name for name, received in self._newest.items() if received.heard_at < oldest]
         for name in silent:
             self.remove(name)
         return silent
 
-    def _was_replaced(self, heard: Heard) -> bool:
-        return self._holders is not None and not self._holders.has(heard.registration)
+    def _was_replaced(self, received: ReceivedHeartbeat) -> bool:
+        return self._owners is not None and not self._owners.owns(received.registration)
 
 
-def _repeats(held: Heard, registration: Registration, heard_at: float, cold_until: float) -> bool:
-    """Tell whether a heartbeat says nothing that the held one has not said."""
-    if not registration.says_same(held.registration):
+def _is_repeat(
+    known: ReceivedHeartbeat, registration: Registration, received_at: float, cold_until: float
+) -> bool:
+    """Return whether a heartbeat only repeats the known one."""
+    if not registration.has_same_content(known.registration):
         return False
-    if registration.cold_for <= 0 and held.cold_until <= heard_at:
+    if registration.cold_for <= 0 and known.cold_until <= received_at:
         return True
-    return abs(cold_until - held.cold_until) <= COLD_TOLERANCE_S
+    return abs(cold_until - known.cold_until) <= COLD_TOLERANCE_S
--- a/src/finchway/registry/_upstream.py
+++ b/src/finchway/registry/_upstream.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself, and what is known of its leaving."""
+"""An upstream's registration, and the committed mark that it is draining or gone."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from msgspec import Struct
 
 
-def name_life(instance: str, born: int) -> str:
-    """Return the name of one life of an upstream; its id alone if it does not tell its start."""
+def incarnation_name(instance: str, born: int) -> str:
+    """Return the name of an upstream's incarnation; its id alone without a start time."""
     return f"{instance}@{born}" if born else instance
 
 
 class UpstreamState(Enum):
-    """What an upstream says of itself."""
+    """The state that an upstream reports of itself."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class MarkKind(Enum):
-    """How a life of an upstream leaves; both stick to it for good."""
+    """How an incarnation of an upstream leaves; a mark is permanent."""
 
     DRAINING = "draining"
     GONE = "gone"
 
 
 class Registration(Struct, frozen=True, kw_only=True):
-    """One heartbeat of one life of an upstream.
+    """One heartbeat of one incarnation of an upstream.
 
-    `born` is when this life started, in Unix milliseconds by the upstream's own clock, 0 if it does
-    not say so: then its instance alone stands for its life. `sequence` grows with every heartbeat
-    of a life. `cold_for` is in seconds, counted from the heartbeat.
+    `born` is the incarnation's start time in Unix milliseconds by the upstream's clock, or 0 if
+    unknown: then the instance alone identifies it. `sequence` grows with every heartbeat of an
+    incarnation. `cold_for` is the remaining cold start in seconds, counted from the heartbeat.
     """
 
     instance: str
@@ -47,11 +47,11 @@
 
     @property
     def life(self) -> str:
-        """The name of this one start of the upstream."""
-        return name_life(self.instance, self.born)
+        """The name of this incarnation."""
+        return incarnation_name(self.instance, self.born)
 
-    def says_same(self, earlier: Registration) -> bool:
-        """Tell whether it differs from an earlier heartbeat only in what time changes."""
+    def has_same_content(self, earlier: Registration) -> bool:
+        """Return whether it differs from an earlier heartbeat only in sequence and cold time."""
         return (
             self.born == earlier.born
             and self.state is earlier.state
@@ -64,7 +64,7 @@
 
 
 class Mark(Struct, frozen=True, array_like=True):
-    """The committed word that a life leaves, and the revision that brought it."""
+    """The committed mark that an incarnation leaves, with its revision."""
 
     revision: int
     instance: str
@@ -73,5 +73,5 @@
 
     @property
     def life(self) -> str:
-        """The name of the life that leaves; without word of its start, all lives of the id."""
-        return name_life(self.instance, self.born)
+        """The name of the marked incarnation; the id alone stands for all its incarnations."""
+        return incarnation_name(self.instance, self.born)
--- a/tests/gateway/test_first_answers.py
+++ b/tests/gateway/test_first_answers.py
@@ -12,7 +12,7 @@
 import trio
 import trio.testing
 
-from finchway.control._feed import FeedDesk
+from finchway.control._feed import FeedServer
 from finchway.exceptions import TransportError
 from finchway.feed import GatewayBeat, World
 from finchway.gateway import FeedLog, GatewaySession
@@ -41,7 +41,7 @@
 class NarrowLink:
     """Carries the answers of all replicas to one gateway, one after the other."""
 
-    def __init__(self, desks: dict[str, FeedDesk]) -> None:
+    def __init__(self, desks: dict[str, FeedServer]) -> None:
         self._desks = desks
         self._free_at = 0.0
         self.answers: list[tuple[float, int]] = []
@@ -64,7 +64,7 @@
 
     def __init__(self, upstreams: int) -> None:
         self.runners = {address: SoundRunner() for address in REPLICAS}
-        desks = {address: FeedDesk(r, None, 1.5) for address, r in self.runners.items()}
+        desks = {address: FeedServer(r, None, 1.5) for address, r in self.runners.items()}
         for desk in desks.values():
             for number in range(upstreams):
                 desk.registry.record(upstream(number), trio.current_time())
--- a/tests/gateway/test_full_link.py
+++ b/tests/gateway/test_full_link.py
@@ -19,11 +19,11 @@
 import trio.testing
 
 from finchway.feed import World, choose_gateways
-from finchway.feed._book import HELPED_FOR_S
+from finchway.feed._gateway_table import CONGESTION_HOLD_S
 from finchway.gateway import FeedLog, GatewaySession
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
 from tests.gateway.test_stale_configuration import SlowLink, SoundRunner, route_change
-from tests.unit.test_registry import beat
+from tests.unit.test_registry import gateway_heartbeat
 
 REPLICAS = ["a:1", "b:1", "c:1"]
 PRESSED_ZONE = [f"n{number}" for number in range(4)]
@@ -44,7 +44,7 @@
         for name in PRESSED_ZONE + CALM_ZONE:
             zone = name[0]
             session = GatewaySession(
-                beat(name, zone=zone, ready=False),
+                gateway_heartbeat(name, zone=zone, ready=False),
                 self.links[zone],
                 World(),
                 lambda: REPLICAS,
@@ -57,8 +57,8 @@
         """Return the zones of the gateways that a replica names to callers of a zone."""
         now = trio.current_time()
         book = self._desk.gateways
-        beats = [heard.beat for heard in book.live(now)]
-        addresses = choose_gateways(beats, "north", zone, frozenset(), book.is_pressed(zone, now))
+        beats = [heard.heartbeat for heard in book.live(now)]
+        addresses = choose_gateways(beats, "north", zone, frozenset(), book.is_congested(zone, now))
         return {address[0] for address in addresses}
 
 
@@ -74,7 +74,7 @@
             assert region.named("n") == named
             assert region.named("b") == {"b"}
             region.links["n"].way = 0.01
-            await trio.sleep(HELPED_FOR_S + 3.0)
+            await trio.sleep(CONGESTION_HOLD_S + 3.0)
             assert region.named("n") == {"n"}
             nursery.cancel_scope.cancel()
 
--- a/tests/gateway/test_stale_configuration.py
+++ b/tests/gateway/test_stale_configuration.py
@@ -34,7 +34,7 @@
 
 from finchway.catalog import Backend, Item, ItemKind, Limits, Route, RouteType, ServiceSpec
 from finchway.control import ControlServer, ReplicaRunner, found_cluster
-from finchway.control._feed import FeedDesk
+from finchway.control._feed import FeedServer
 from finchway.exceptions import TransportError
 from finchway.feed import Feed, GatewayBeat, Subscribe, World
 from finchway.gateway import FeedLog, GatewaySession
@@ -116,7 +116,7 @@
 
     def __init__(self, runners: dict[str, SoundRunner], way: float) -> None:
         self.way = way
-        self.desks = {address: FeedDesk(r, None, 1.5) for address, r in runners.items()}
+        self.desks = {address: FeedServer(r, None, 1.5) for address, r in runners.items()}
 
     async def request(self, address, question, timeout, send_within=None):
         with trio.move_on_after(timeout):
--- a/tests/process/test_control.py
+++ b/tests/process/test_control.py
@@ -16,7 +16,7 @@
 from finchway.state._history import HISTORY_LIMIT
 from tests.linearizability import NEVER, Operation, State, is_linearizable
 
-CHANGERS = 12
+WRITERS = 12
 pytestmark = pytest.mark.xdist_group("control")
 
 
@@ -40,7 +40,7 @@
     return names[0]
 
 
-def wait_even(deployment, voters: int = 3) -> None:
+def wait_identical(deployment, voters: int = 3) -> None:
     """Wait until so many voters have applied the same log to the same digest."""
 
     def even() -> bool:
@@ -64,7 +64,7 @@
     assert region_latency(deployment, "kept") == 1.0
     put_region(deployment, "kept", 2.0)
     deployment.restart(name)
-    wait_even(deployment)
+    wait_identical(deployment)
     assert region_latency(deployment, "kept") == 2.0
 
 
@@ -78,7 +78,7 @@
         deployment.restart(name)
     deployment.wait(lambda: region_latency(deployment, "all") == 3.0, "the state to be back")
     deployment.wait_in_force(revision, 2)
-    wait_even(deployment)
+    wait_identical(deployment)
 
 
 def test_a_replica_with_an_emptied_disk_is_repaired_and_another_may_be_lost(deployment):
@@ -100,7 +100,7 @@
     assert region_latency(deployment, "repair") == 4.0
     put_region(deployment, "repair", 5.0)
     deployment.restart(second)
-    wait_even(deployment)
+    wait_identical(deployment)
     assert region_latency(deployment, "repair") == 5.0
 
 
@@ -119,7 +119,7 @@
         return bool(list(deployment.folder.glob(f"{name}.damaged-*")))
 
     deployment.wait(rejoined, "the damaged folder to be put aside")
-    wait_even(deployment)
+    wait_identical(deployment)
 
 
 def test_a_frozen_leader_is_replaced_and_does_no_harm_when_it_wakes(deployment):
@@ -129,7 +129,7 @@
     client = ApiClient(others, CREDENTIAL)
     answer = client.put("region", "frozen", {"latency_ms": {"north": 6.0}})
     deployment.kill(name, signal.SIGCONT)
-    wait_even(deployment)
+    wait_identical(deployment)
     awake = ApiClient([deployment.api[name]], CREDENTIAL)
     assert awake.get("region", "frozen")["spec"]["latency_ms"]["north"] == 6.0
     deployment.wait_in_force(answer["revision"], 2)
@@ -253,7 +253,7 @@
     put_region(deployment, "handover", 1.0)
     assert leader(deployment) != name
     deployment.restart(name)
-    wait_even(deployment)
+    wait_identical(deployment)
 
 
 def test_a_drain_and_a_planned_stop_finish(deployment):
@@ -282,7 +282,9 @@
     """More changes than the history holds: the watch says gone, and the list helps on."""
     client = deployment.client
     since = client.list("region")["revision"]
-    workers = [threading.Thread(target=change_often, args=(deployment, n)) for n in range(CHANGERS)]
+    workers = [
+        threading.Thread(target=overflow_history, args=(deployment, n)) for n in range(WRITERS)
+    ]
     for worker in workers:
         worker.start()
     for worker in workers:
@@ -294,8 +296,8 @@
     assert next(iter(client.watch(fresh)))
 
 
-def change_often(deployment, number: int) -> None:
+def overflow_history(deployment, number: int) -> None:
     """Make this worker's part of the changes that overflow the history."""
     client = deployment.client
-    for step in range(HISTORY_LIMIT * 3 // 2 // CHANGERS):
+    for step in range(HISTORY_LIMIT * 3 // 2 // WRITERS):
         client.put("region", f"often{number}", {"latency_ms": {"north": float(step + 1)}})
--- a/tests/process/test_deadly_requests.py
+++ b/tests/process/test_deadly_requests.py
@@ -25,7 +25,7 @@
 # Seconds after the third end from which every gateway must know.
 KNOWN_WITHIN_S = 3.0
 # Seconds by which the time of day jumps.
-JUMP_S = 3_600.0
+CLOCK_JUMP_S = 3_600.0
 
 
 def test_what_gateways_saw_singly_keeps_a_request_from_upstreams_also_after_a_restart_of_all(
@@ -100,7 +100,7 @@
         before = await suspects(scene)
         assert before
         for name in scene.replicas:
-            scene.machines.spoil(name, "clock", JUMP_S)
+            scene.machines.spoil(name, "clock", CLOCK_JUMP_S)
         # Long enough for the leader to let time pass in the log.
         await trio.sleep(EXPIRE_INTERVAL_S + 1.0)
         assert await suspects(scene) == before
--- a/tests/process/test_gateway.py
+++ b/tests/process/test_gateway.py
@@ -18,7 +18,7 @@
 from tests.adapter.test_processes import free_ports
 
 pytestmark = pytest.mark.xdist_group("gateway")
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 ITEMS = """
 - {kind: service, name: bays, version: 1, spec: {cold_start: 0}}
@@ -64,13 +64,13 @@
         process.wait()
 
 
-def ask(address, path="/bays/"):
+def send_request(address, path="/bays/"):
     headers = [(b"Host", b"a.example"), (b"Finchway-Request-Id", b"id-1")]
     return httpcore.request("GET", f"http://{address}{path}", headers=headers)
 
 
 def wait_for(condition):
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     while True:
         try:
             value = condition()
@@ -105,17 +105,17 @@
     address, upstream, process = gateway
     path = tmp_path / "items.yaml"
     path.write_text(ITEMS)
-    assert wait_for(lambda: ask(address).status == 503)
+    assert wait_for(lambda: send_request(address).status == 503)
     code, out, _ = finchway("change", "-f", str(path))
     assert code == 0
     assert "3 items are held" in out
-    assert wait_for(lambda: ask(address, "/other").status == 404)
+    assert wait_for(lambda: send_request(address, "/other").status == 404)
     sequences = itertools.count(1)
 
     def reaches_upstream():
         # The plain server knows no such path: its own 404 shows that the request reached it.
         heartbeat(deployment, upstream, "ready", next(sequences))
-        return b"File not found" in ask(address).content
+        return b"File not found" in send_request(address).content
 
     assert wait_for(reaches_upstream)
     code, out, _ = finchway("steering")
@@ -124,14 +124,14 @@
     assert "i-1" in out
     assert "g1" in out
     assert finchway("evacuate", "north-a")[0] == 0
-    assert wait_for(lambda: ask(address).status == 503)
+    assert wait_for(lambda: send_request(address).status == 503)
     assert json.loads(finchway("steering", "-o", "json")[1])["evacuated"] == ["north-a"]
     assert finchway("readmit", "north-a")[0] == 0
     assert wait_for(reaches_upstream)
     heartbeat(deployment, upstream, "draining", next(sequences))
-    assert wait_for(lambda: ask(address).status == 503)
+    assert wait_for(lambda: send_request(address).status == 503)
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE_S) == 0
+    assert process.wait(TIMEOUT_S) == 0
 
 
 def test_faults_of_items_are_reported_with_their_place(finchway, tmp_path):
--- a/tests/process/test_limits_by_control.py
+++ b/tests/process/test_limits_by_control.py
@@ -19,7 +19,7 @@
 RATE = 20
 
 
-def came(upstream, since, until):
+def served_between(upstream, since, until):
     return sum(since <= at < until for at in upstream.served_at)
 
 
@@ -31,7 +31,7 @@
         await trio.sleep(KNOWN_WITHIN_S)
         start = trio.current_time()
         statuses = await scene.press(scene.names[1:], WINDOW_S, RATE)
-        assert came(upstream, start, start + WINDOW_S) <= borne(LIMIT)
+        assert served_between(upstream, start, start + WINDOW_S) <= borne(LIMIT)
         assert statuses.count(503) > len(statuses) / 2
         upstream.limit = ""
         # One of the holders is answered without a limit, and the others hear of it.
@@ -56,7 +56,7 @@
             await scene.restart_replicas()
         at = start
         while at < start + 1.5 * WINDOW_S:
-            assert came(upstream, at, at + WINDOW_S) <= borne(LIMIT)
+            assert served_between(upstream, at, at + WINDOW_S) <= borne(LIMIT)
             at += 0.5
 
     play(check, tmp_path, 1)
--- a/tests/process/test_named_limit.py
+++ b/tests/process/test_named_limit.py
@@ -20,8 +20,8 @@
 pytestmark = pytest.mark.xdist_group("named-limit")
 
 LIMIT = 1.0
-PRESSED_S = 7.5
-CALLS_A_SECOND = 40
+LOAD_S = 7.5
+CALLS_PER_S = 40
 
 
 def bays(deployment) -> list[str]:
@@ -33,7 +33,7 @@
         fetch(address, "/fake/mode", {"mode": "normal", "limit": limit})
 
 
-def press(deployment, seconds: float) -> list:
+def send_load(deployment, seconds: float) -> list:
     """Call both entries in turn at a steady rate; returns each answer and the time it took."""
 
     def call(number: int):
@@ -43,20 +43,20 @@
 
     with ThreadPoolExecutor(200) as pool:
         calls = []
-        for number in range(int(seconds * CALLS_A_SECOND)):
+        for number in range(int(seconds * CALLS_PER_S)):
             calls.append(pool.submit(call, number))
-            time.sleep(1 / CALLS_A_SECOND)
+            time.sleep(1 / CALLS_PER_S)
         return [done.result() for done in calls]
 
 
-def most_at(deployment, address: str, since: float) -> int:
+def max_requests_in_a_window(deployment, address: str, since: float) -> int:
     """Return the most requests that an upstream has begun in any window after a moment."""
     runs = fetch(address, "/fake/report")["runs"]
     return most_in_a_window([run["started"] for run in runs], since)
 
 
 @pytest.fixture(autouse=True)
-def unlimited(deployment):
+def remove_limits(deployment):
     yield
     name_limit(deployment, "")
 
@@ -64,8 +64,11 @@
 def test_entries_together_send_an_upstream_no_more_than_it_bears(deployment):
     name_limit(deployment, str(LIMIT))
     started = time.time()
-    answers = press(deployment, PRESSED_S)
-    most = {a: most_at(deployment, a, started + KNOWN_WITHIN_S) for a in bays(deployment)}
+    answers = send_load(deployment, LOAD_S)
+    most = {
+        a: max_requests_in_a_window(deployment, a, started + KNOWN_WITHIN_S)
+        for a in bays(deployment)
+    }
     assert max(most.values()) <= borne(LIMIT), most
     assert min(most.values()) >= LIMIT * WINDOW_S / 2, most
     refused = [(r, took) for r, took in answers if r.status == 503]
@@ -76,13 +79,13 @@
 
 def test_entries_serve_all_again_when_answers_name_no_limit_any_more(deployment):
     name_limit(deployment, str(LIMIT))
-    press(deployment, 2.0)
+    send_load(deployment, 2.0)
     name_limit(deployment, "")
-    press(deployment, 4.0)
-    statuses = [response.status for response, _ in press(deployment, 1.0)]
+    send_load(deployment, 4.0)
+    statuses = [response.status for response, _ in send_load(deployment, 1.0)]
     assert set(statuses) == {200}
 
 
 def test_a_limit_that_makes_no_sense_changes_nothing(deployment):
     name_limit(deployment, "many")
-    assert {response.status for response, _ in press(deployment, 1.0)} == {200}
+    assert {response.status for response, _ in send_load(deployment, 1.0)} == {200}
--- a/tests/process/test_other_writers.py
+++ b/tests/process/test_other_writers.py
@@ -21,9 +21,9 @@
 CALLERS = 8
 # Megabytes by which a replica may grow more under bad entries than under as many good ones: each
 # call holds about 5 KB for as long as its connection may be kept alive, whatever it says.
-MOST_GROWN_MB = 6.0
-GOOD = {"address": "127.0.0.1:9", "service": "bays", "zone": "z1", "slots": 4, "state": "ready"}
-ODD = (
+MAX_EXTRA_GROWTH_MB = 6.0
+VALID = {"address": "127.0.0.1:9", "service": "bays", "zone": "z1", "slots": 4, "state": "ready"}
+INVALID_FIELDS = (
     {"slots": 10**30},
     {"slots": -1},
     {"slots": True},
@@ -52,7 +52,7 @@
 
         async def write(numbers, name, odd, statuses):
             while (number := next(numbers)) < ENTRIES:
-                entry = GOOD | {"sequence": number} | (rng.choice(ODD) if odd else {})
+                entry = VALID | {"sequence": number} | (rng.choice(INVALID_FIELDS) if odd else {})
                 path = f"/v1/steering/upstreams/{name}-{number if odd else 0}"
                 answer = await scene.control.insist("PUT", path, entry)
                 assert answer[0] in statuses, (entry, answer)
@@ -70,7 +70,7 @@
 
         by_good = await write_all("good", False, (200,))
         by_bad = await write_all("bad", True, (400, 422))
-        assert by_bad - by_good < MOST_GROWN_MB
+        assert by_bad - by_good < MAX_EXTRA_GROWTH_MB
         status, view = await scene.control.insist("GET", "/v1/steering")
         assert status == 200
         assert b"good-0" in view
@@ -82,7 +82,7 @@
 
 def test_an_upstream_that_comes_before_its_service_is_used_from_its_next_heartbeat_on(tmp_path):
     async def check(scene):
-        entry = GOOD | {"service": "later", "sequence": 1}
+        entry = VALID | {"service": "later", "sequence": 1}
         path = "/v1/steering/upstreams/early"
         assert (await scene.control.insist("PUT", path, entry))[0] in (400, 422)
         item = {"kind": "service", "name": "later", "version": 1, "spec": {}}
--- a/tests/process/test_second_life.py
+++ b/tests/process/test_restarted_upstream.py
@@ -13,26 +13,26 @@
 
 pytestmark = pytest.mark.xdist_group("gateway")
 # Heartbeats within which an upstream that is back gets requests again, and what a request takes.
-USED_WITHIN_BEATS = 2
-SERVED_WITHIN_S = 0.3
-FIRST_LIFE_BEATS = 20
+MAX_HEARTBEATS = 2
+REQUEST_TIME_S = 0.3
+FIRST_RUN_HEARTBEATS = 20
 # Seconds away, after which an upstream has long been taken for silent.
-AWAY_S = 5.0
+DOWN_S = 5.0
 
 
 def test_an_upstream_that_starts_again_under_its_id_is_used_within_two_heartbeats(tmp_path):
     async def check(scene):
         upstream, _ = scene.upstreams
-        upstream.back_after_s = AWAY_S
-        await trio.sleep(FIRST_LIFE_BEATS * BEAT_S)
+        upstream.back_after_s = DOWN_S
+        await trio.sleep(FIRST_RUN_HEARTBEATS * BEAT_S)
         upstream.end()
         while upstream.lives == 1:
             await trio.sleep(0.01)
-        await trio.sleep(AWAY_S)
+        await trio.sleep(DOWN_S)
         back_at = trio.current_time()
         while not upstream.served_at or upstream.served_at[-1] < back_at:
             assert await scene.ask("g1", "/safe/well") == 200
-            assert trio.current_time() - back_at < USED_WITHIN_BEATS * BEAT_S + SERVED_WITHIN_S
+            assert trio.current_time() - back_at < MAX_HEARTBEATS * BEAT_S + REQUEST_TIME_S
             await trio.sleep(0.02)
 
     play(check, tmp_path, 2, keeps_instance=True)
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -13,7 +13,7 @@
     WallClock,
     read_since_boot,
 )
-from finchway.control._feed import FeedDesk
+from finchway.control._feed import FeedServer
 from finchway.entry import ControlSession, EntryIdentity, EntryView
 from finchway.feed import Feed, GatewayBeat, Subscribe, World
 from finchway.membership import HeartbeatReply, LeaseTiming
@@ -22,7 +22,7 @@
 from finchway.pushback import Allowances, LimitWords, Part
 from finchway.resources import Division, Share
 from finchway.state import SteeringImage
-from tests.unit.test_feed_desk import QuietRunner
+from tests.unit.test_feed_server import IdleRunner
 
 
 class Machine:
@@ -83,9 +83,9 @@
 
 def test_a_replica_that_wakes_tells_how_old_its_state_is():
     async def check(machine):
-        runner = QuietRunner()
+        runner = IdleRunner()
         runner.covered_at = trio.current_time()
-        desk = FeedDesk(runner, None, 1.5)
+        desk = FeedServer(runner, None, 1.5)
         beat = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r")
         machine.suspended += 5.0
         return (await desk.answer(Subscribe(beat=beat, revision=0))).age
@@ -95,7 +95,7 @@
 
 def test_a_gateway_that_wakes_is_not_named_until_it_is_heard_again():
     async def check(machine):
-        desk = FeedDesk(QuietRunner(), None, 1.5)
+        desk = FeedServer(IdleRunner(), None, 1.5)
         beat = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r", ready=True)
         await desk.answer(Subscribe(beat=beat, revision=0))
         assert len(desk.gateways.serving(trio.current_time())) == 1
--- a/tests/unit/test_registry.py
+++ b/tests/unit/test_registry.py
@@ -5,8 +5,8 @@
 from finchway.feed import (
     Feed,
     GatewayBeat,
-    GatewayBook,
     GatewayPeer,
+    GatewayTable,
     HeardUpstream,
     RegionDemand,
     ReplicaAddress,
@@ -15,7 +15,7 @@
     World,
     choose_gateways,
 )
-from finchway.feed._book import HELPED_FOR_S
+from finchway.feed._gateway_table import CONGESTION_HOLD_S
 from finchway.registry import Registration, Registry, UpstreamState
 from finchway.state import Steering
 from tests.unit.test_catalog import change, route, service
@@ -34,7 +34,7 @@
     return Registration(**values)
 
 
-def beat(name="g", **fields):
+def gateway_heartbeat(name="g", **fields):
     values = {
         "name": name,
         "incarnation": "1",
@@ -103,18 +103,20 @@
 
 
 def test_gateways_are_forgotten_when_silent_and_old_beats_are_passed_over():
-    book = GatewayBook(2.0)
-    book.record(beat(sequence=2, leaving=True), 1.0)
-    book.record(beat(sequence=1), 1.5)
-    assert book.live(1.5)[0].beat.leaving
+    book = GatewayTable(2.0)
+    book.record(gateway_heartbeat(sequence=2, leaving=True), 1.0)
+    book.record(gateway_heartbeat(sequence=1), 1.5)
+    assert book.live(1.5)[0].heartbeat.leaving
     assert book.live(3.5) == []
 
 
 def test_a_book_sums_the_demand_of_each_region():
-    book = GatewayBook(2.0)
-    book.record(beat("a", rates=[ServiceRate("s", 2.0), ServiceRate("t", 1.0)]), 1.0)
-    book.record(beat("b", rates=[ServiceRate("s", 3.0)], leaving=True), 1.0)
-    book.record(beat("c", rates=[ServiceRate("s", 4.0)], region="south", ready=False), 1.0)
+    book = GatewayTable(2.0)
+    book.record(gateway_heartbeat("a", rates=[ServiceRate("s", 2.0), ServiceRate("t", 1.0)]), 1.0)
+    book.record(gateway_heartbeat("b", rates=[ServiceRate("s", 3.0)], leaving=True), 1.0)
+    book.record(
+        gateway_heartbeat("c", rates=[ServiceRate("s", 4.0)], region="south", ready=False), 1.0
+    )
     assert book.demand(1.0) == [
         RegionDemand("north", "s", 5.0),
         RegionDemand("north", "t", 1.0),
@@ -125,22 +127,22 @@
 
 
 def test_a_gateway_that_starts_anew_replaces_its_earlier_life():
-    book = GatewayBook(2.0)
-    book.record(beat(sequence=9, leaving=True), 1.0)
-    book.record(beat(sequence=1, incarnation="2"), 1.2)
-    assert not book.live(1.2)[0].beat.leaving
+    book = GatewayTable(2.0)
+    book.record(gateway_heartbeat(sequence=9, leaving=True), 1.0)
+    book.record(gateway_heartbeat(sequence=1, incarnation="2"), 1.2)
+    assert not book.live(1.2)[0].heartbeat.leaving
 
 
 def test_the_directory_names_the_callers_region_and_no_one_who_leaves():
     gateways = [
-        beat("a"),
-        beat("b", leaving=True),
-        beat("c", ready=False),
-        beat("d", zone="y"),
-        beat("e", region="south"),
+        gateway_heartbeat("a"),
+        gateway_heartbeat("b", leaving=True),
+        gateway_heartbeat("c", ready=False),
+        gateway_heartbeat("d", zone="y"),
+        gateway_heartbeat("e", region="south"),
     ]
     assert choose_gateways(gateways, "north", "y", frozenset()) == ["a:1", "d:1"]
-    more = [*gateways, beat("f", zone="y")]
+    more = [*gateways, gateway_heartbeat("f", zone="y")]
     assert choose_gateways(more, "north", "y", frozenset()) == ["d:1", "f:1"]
     assert choose_gateways(more, "north", "z", frozenset()) == ["a:1", "d:1", "f:1"]
     assert choose_gateways(gateways, "west", "", frozenset()) == ["a:1", "d:1", "e:1"]
@@ -149,33 +151,33 @@
 
 def test_a_zone_that_has_lost_many_gateways_is_helped_by_its_region():
     # An assumed case after the grown trouble-1, where many of 74 gateways were down or cut.
-    whole = [beat(f"w{n}", zone="y") for n in range(8)]
-    left = [beat(f"l{n}", zone="z") for n in range(3)]
+    whole = [gateway_heartbeat(f"w{n}", zone="y") for n in range(8)]
+    left = [gateway_heartbeat(f"l{n}", zone="z") for n in range(3)]
     assert len(choose_gateways([*whole, *left], "north", "z", frozenset())) == 11
     assert len(choose_gateways([*whole, *left], "north", "y", frozenset())) == 8
-    even = [beat(f"l{n}", zone="z") for n in range(6)]
+    even = [gateway_heartbeat(f"l{n}", zone="z") for n in range(6)]
     assert len(choose_gateways([*whole, *even], "north", "z", frozenset())) == 6
 
 
 def test_a_zone_whose_links_are_pressed_is_helped_by_its_region_for_a_while():
-    book = GatewayBook(100.0)
-    others = [beat(f"w{n}", zone="y") for n in range(4)]
+    book = GatewayTable(100.0)
+    others = [gateway_heartbeat(f"w{n}", zone="y") for n in range(4)]
     for number in range(4):
-        book.record(beat(f"l{number}", zone="z", pressed=number == 3, sequence=1), 1.0)
+        book.record(gateway_heartbeat(f"l{number}", zone="z", pressed=number == 3, sequence=1), 1.0)
     for other in others:
         book.record(other, 1.0)
 
     def named(zone, now):
-        beats = [heard.beat for heard in book.live(now)]
-        return len(choose_gateways(beats, "north", zone, frozenset(), book.is_pressed(zone, now)))
+        beats = [heard.heartbeat for heard in book.live(now)]
+        return len(choose_gateways(beats, "north", zone, frozenset(), book.is_congested(zone, now)))
 
     assert named("z", 1.0) == 4
-    book.record(beat("l1", zone="z", pressed=True, sequence=2), 2.0)
+    book.record(gateway_heartbeat("l1", zone="z", pressed=True, sequence=2), 2.0)
     assert (named("z", 2.0), named("y", 2.0)) == (8, 4)
     for number in range(4):
-        book.record(beat(f"l{number}", zone="z", sequence=3), 3.0)
+        book.record(gateway_heartbeat(f"l{number}", zone="z", sequence=3), 3.0)
     assert named("z", 9.0) == 8
-    assert named("z", 2.0 + HELPED_FOR_S + 0.1) == 4
+    assert named("z", 2.0 + CONGESTION_HOLD_S + 0.1) == 4
 
 
 def test_the_world_takes_ages_into_account_and_never_goes_back():
--- a/tests/unit/test_replication.py
+++ b/tests/unit/test_replication.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from finchway.control._repair import ReplicaPlan
+from finchway.control._replica_set import ReplicaSetPlanner
 from finchway.exceptions import ConflictError
 from finchway.replication import Core, Member, Members, Restored, RoleName, Snapshot
 from tests.raft import Cluster
@@ -170,7 +170,7 @@
 
 def repair(cluster: Cluster, fresh) -> None:
     """Replace the earlier life of a replica by its new one, as the control role does."""
-    plan = ReplicaPlan()
+    plan = ReplicaSetPlanner()
     plan.record_join(fresh.member)
 
     def done() -> bool:
--- a/tests/unit/test_steering_lines.py
+++ b/tests/unit/test_steering_log.py
@@ -4,18 +4,18 @@
 import trio.testing
 
 from finchway.control import SteeringService
-from finchway.control._feed import FeedDesk
+from finchway.control._feed import FeedServer
 from finchway.observe import BeliefChanged, ReplicaMetrics
-from tests.unit.test_feed_desk import QuietRunner
-from tests.unit.test_registry import beat, registration
+from tests.unit.test_feed_server import IdleRunner
+from tests.unit.test_registry import gateway_heartbeat, registration
 
 
 class Control:
     """The control role as far as these calls go."""
 
     def __init__(self) -> None:
-        self.runner = QuietRunner()
-        self.feed = FeedDesk(self.runner, None, 1.5)
+        self.runner = IdleRunner()
+        self.feed = FeedServer(self.runner, None, 1.5)
 
 
 class Lines:
@@ -51,10 +51,12 @@
     async def script(service):
         book = service.control.feed.gateways
         for sequence, pressed in ((1, False), (2, True), (3, False)):
-            book.record(beat("g", pressed=pressed, sequence=sequence), trio.current_time())
+            book.record(
+                gateway_heartbeat("g", pressed=pressed, sequence=sequence), trio.current_time()
+            )
             assert service.gateways("a.example", "north", "z") == ["g:1"]
         await trio.sleep(10.0)
-        book.record(beat("g", sequence=4), trio.current_time())
+        book.record(gateway_heartbeat("g", sequence=4), trio.current_time())
         assert service.gateways("a.example", "north", "z") == ["g:1"]
 
     assert play(script) == [("zone/z", "pressed"), ("zone/z", "not pressed")]
