--- a/tests/process/test_control.py
+++ b/tests/process/test_control.py
@@ -1,4 +1,4 @@
-"""Control under kills, lost disks, damage and freezes, with real processes and files."""
+"""Control under crashes, lost disks, damaged files and pauses, with real processes and files."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 
 
 def wait_identical(deployment, voters: int = 3) -> None:
-    """Wait until so many voters have applied the same log to the same digest."""
+    """Wait until there are `voters` voters with the same applied index and digest."""
 
-    def even() -> bool:
+    def identical() -> bool:
         answer = deployment.client.read("/v1/replicas")
         ids = {f"{m['name']}@{m['incarnation']}" for m in answer["members"]["voters"]}
         states = [r for r in answer["replicas"] if r["id"] in ids and "digest" in r]
         same = len({(r["applied"], r["digest"]) for r in states}) == 1
         return len(ids) == voters and len(states) == voters and same
 
-    deployment.wait(even, f"{voters} replicas with one state")
+    deployment.wait(identical, f"{voters} replicas with one state")
 
 
 def region_latency(deployment, name: str) -> float:
@@ -68,7 +68,7 @@
     assert region_latency(deployment, "kept") == 2.0
 
 
-def test_killing_everything_at_once_loses_nothing(deployment):
+def test_killing_all_processes_at_once_loses_nothing(deployment):
     revision = put_region(deployment, "all", 3.0)["revision"]
     names = [*deployment.api, *deployment.entry]
     for name in names:
@@ -81,7 +81,7 @@
     wait_identical(deployment)
 
 
-def test_a_replica_with_an_emptied_disk_is_repaired_and_another_may_be_lost(deployment):
+def test_a_replica_without_data_rejoins_and_another_may_be_lost(deployment):
     put_region(deployment, "repair", 4.0)
     name = next(n for n in deployment.api if n != leader(deployment))
     old = next(r["id"] for r in replicas(deployment) if r["id"].startswith(f"{name}@"))
@@ -104,7 +104,7 @@
     assert region_latency(deployment, "repair") == 5.0
 
 
-def test_a_replica_with_damaged_files_comes_back_as_a_new_one(deployment):
+def test_a_replica_with_damaged_files_rejoins_as_a_new_one(deployment):
     for number in range(20):
         put_region(deployment, "damage", float(number))
     name = next(n for n in deployment.api if n != leader(deployment))
@@ -122,7 +122,7 @@
     wait_identical(deployment)
 
 
-def test_a_frozen_leader_is_replaced_and_does_no_harm_when_it_wakes(deployment):
+def test_a_paused_leader_is_replaced_and_rejoins_as_a_follower(deployment):
     name = leader(deployment)
     deployment.kill(name, signal.SIGSTOP)
     others = [address for n, address in deployment.api.items() if n != name]
@@ -145,7 +145,7 @@
     assert {e["instance"]: e["state"] for e in metrics}["e1"] == "live"
 
 
-def test_equal_numbers_race_and_one_wins(deployment):
+def test_of_concurrent_changes_of_one_generation_one_wins(deployment):
     put_region(deployment, "race", 0.0)
     client = deployment.client
     generation = client.get("region", "race")["generation"]
@@ -169,7 +169,7 @@
     assert all(f'"generation":{generation + 1}'.encode() in error.winner for error in lost)
 
 
-def test_a_resent_change_gets_its_first_answer_from_any_replica(deployment):
+def test_a_resent_change_gets_the_same_answer_from_any_replica(deployment):
     body = {"spec": {"latency_ms": {"north": 1.0}}, "expected": 0, "change_id": uuid.uuid4().hex}
     answers = [
         ApiClient([address], CREDENTIAL)._call("PUT", "/v1/resources/region/resent", body)
@@ -178,7 +178,7 @@
     assert answers[0] == answers[1] == answers[2]
 
 
-def test_a_watch_has_no_gaps_and_says_when_history_is_gone(deployment):
+def test_a_watch_has_no_gaps_and_refuses_an_unknown_kind(deployment):
     client = deployment.client
     since = client.list("region")["revision"]
     last = [put_region(deployment, "watched", float(n))["revision"] for n in range(5)][-1]
@@ -195,7 +195,7 @@
         next(iter(client.watch(10**9, "nothing")))
 
 
-def test_concurrent_changes_are_linearizable_while_leaders_die(deployment):
+def test_concurrent_changes_are_linearizable_while_leaders_are_killed(deployment):
     put_region(deployment, "register", 0.0)
     start = deployment.client.get("region", "register")
     operations: list[Operation] = []
@@ -207,7 +207,7 @@
         for step in range(12):
             if stop.is_set():
                 return
-            # Values are never written twice: a write of what stands changes no generation.
+            # Values are unique, since writing the current value does not change the generation.
             operate(client, f"{number * 100 + step + 1}.0")
 
     def operate(client: ApiClient, value: str) -> None:
@@ -246,7 +246,7 @@
     assert is_linearizable(operations, state)
 
 
-def test_a_planned_stop_of_the_leader_hands_over(deployment):
+def test_a_planned_stop_of_the_leader_transfers_leadership(deployment):
     name = leader(deployment)
     deployment.kill(name, signal.SIGTERM)
     assert deployment.processes[name].wait(timeout=30) == 0
@@ -278,8 +278,8 @@
     deployment.wait_in_force(client.list("region")["revision"], 2)
 
 
-def test_a_watch_from_compacted_history_is_told_where_to_restart(deployment):
-    """More changes than the history holds: the watch says gone, and the list helps on."""
+def test_a_watch_from_compacted_history_returns_the_oldest_revision(deployment):
+    """After more changes than the history holds, a watch fails and a list restarts it."""
     client = deployment.client
     since = client.list("region")["revision"]
     workers = [
@@ -297,7 +297,7 @@
 
 
 def overflow_history(deployment, number: int) -> None:
-    """Make this worker's part of the changes that overflow the history."""
+    """Make one worker's part of the changes that overflow the history."""
     client = deployment.client
     for step in range(HISTORY_LIMIT * 3 // 2 // WRITERS):
         client.put("region", f"often{number}", {"latency_ms": {"north": float(step + 1)}})
--- a/tests/process/test_deadly_requests.py
+++ b/tests/process/test_deadly_requests.py
@@ -1,9 +1,7 @@
-"""Requests that end upstreams, sent at any gateway of a deployment, also after a restart of all.
+"""Requests that crash upstreams, sent through several gateways and after a full restart.
 
-A look-up that ended each upstream was sent at gateways of all regions: of 12 tries within four
-seconds ten gateways had one or two each. So each of them may have seen only one upstream end, and
-only their sum shows what the request does. A deployment that has lost all of its processes since
-must still know it: else three more upstreams are lost to find out again.
+Guards against a request that is never quarantined because each gateway sees only one crash, and
+against suspects that are lost when the whole deployment restarts.
 """
 
 from __future__ import annotations
@@ -22,13 +20,12 @@
 pytestmark = pytest.mark.xdist_group("gateway")
 
 UPSTREAMS = 9
-# Seconds after the third end from which every gateway must know.
+# Time after the third crash within which all gateways must have the quarantine.
 KNOWN_WITHIN_S = 3.0
-# Seconds by which the time of day jumps.
 CLOCK_JUMP_S = 3_600.0
 
 
-def test_what_gateways_saw_singly_keeps_a_request_from_upstreams_also_after_a_restart_of_all(
+def test_crashes_seen_by_different_gateways_quarantine_a_request_also_after_a_restart(
     tmp_path,
 ):
     async def check(scene):
@@ -41,7 +38,7 @@
         for name in scene.names * 3:
             await scene.ask(name)
             await trio.sleep(0.1)
-        # The first tries followed each other so closely that the later ones may not have counted.
+        # The first requests were sent so fast that the report of the last one may not have arrived.
         assert scene.reached - before <= 1
         known = scene.reached
         await scene.restart_all()
@@ -83,15 +80,8 @@
     play(check, tmp_path, UPSTREAMS)
 
 
-def test_a_jump_of_the_time_of_day_forgets_nothing(tmp_path):
-    """A leader's time of day jumped an hour ahead for 0.3 s, and all suspects were cleared.
-
-    One of them had ended two upstreams by then and ended two more afterwards, as if it were new.
-    The log's clock is the latest time that any command names, so one command from that moment
-    ended everything that is kept for a time, and held the clock an hour ahead. The lines were
-    `subject=request/8ae9... now=cleared` at 996.6 s and an order of the leader at 4,596.7 s, 2.1 s
-    after its last one.
-    """
+def test_a_jump_of_the_wall_clock_clears_no_suspects(tmp_path):
+    """Guards against a leader's clock jump that expires all suspects through one log command."""
 
     async def check(scene):
         while scene.ended < 2:
@@ -101,7 +91,7 @@
         assert before
         for name in scene.replicas:
             scene.machines.spoil(name, "clock", CLOCK_JUMP_S)
-        # Long enough for the leader to let time pass in the log.
+        # Long enough for the leader to commit an expiry command.
         await trio.sleep(EXPIRE_INTERVAL_S + 1.0)
         assert await suspects(scene) == before
         for name in scene.replicas:
@@ -111,7 +101,7 @@
 
 
 async def suspects(scene) -> list[tuple[str, int]]:
-    """Return the requests against which something speaks, and how many upstreams ended."""
+    """Return the requests that are suspected, with the number of crashes of each."""
     status, content = await scene.control.call("GET", "/v1/steering")
     assert status == 200
     held = json.loads(content)["suspects"]
--- a/tests/process/test_gateway.py
+++ b/tests/process/test_gateway.py
@@ -1,4 +1,4 @@
-"""The product's own interface for gateways: the daemon's flags, the API and the tool."""
+"""Finchway's own interfaces for gateways: the daemon's flags, the API and the command line."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
                 return value
         except httpcore.NetworkError:
             pass
-        assert time.monotonic() < deadline, "the condition did not come true"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(0.05)
 
 
@@ -101,7 +101,9 @@
     assert answer.status == 200, answer.content
 
 
-def test_routes_upstreams_and_evacuation_by_the_tool(deployment, finchway, gateway, tmp_path):
+def test_routes_upstreams_and_evacuation_by_the_command_line(
+    deployment, finchway, gateway, tmp_path
+):
     address, upstream, process = gateway
     path = tmp_path / "items.yaml"
     path.write_text(ITEMS)
@@ -113,7 +115,7 @@
     sequences = itertools.count(1)
 
     def reaches_upstream():
-        # The plain server knows no such path: its own 404 shows that the request reached it.
+        # The plain file server has no such path, so its own 404 proves that it got the request.
         heartbeat(deployment, upstream, "ready", next(sequences))
         return b"File not found" in send_request(address).content
 
@@ -134,7 +136,7 @@
     assert process.wait(TIMEOUT_S) == 0
 
 
-def test_faults_of_items_are_reported_with_their_place(finchway, tmp_path):
+def test_invalid_items_are_reported_with_their_position(finchway, tmp_path):
     path = tmp_path / "items.yaml"
     path.write_text(
         "- {kind: route, name: r, version: 1, spec: {hots: a}}\n"
@@ -150,7 +152,7 @@
     assert "no service 'nobody'" in err
 
 
-def test_another_content_under_a_held_version_is_a_conflict(finchway, tmp_path):
+def test_other_content_under_an_existing_version_is_a_conflict(finchway, tmp_path):
     path = tmp_path / "items.yaml"
     path.write_text(ITEMS)
     assert finchway("change", "-f", str(path))[0] == 0
--- a/tests/process/test_limits_by_control.py
+++ b/tests/process/test_limits_by_control.py
@@ -1,8 +1,7 @@
-"""Limits that an upstream has named to one gateway, at all gateways of a deployment.
+"""Rate limits that an upstream returns to one gateway, enforced at all gateways of a deployment.
 
-A gateway that sends an upstream nothing hears nothing of its limit, nor of its end. So what one
-gateway is told travels by way of the replicas, and every gateway knows who may use the limit; it
-must go on while these replicas are lost and started anew.
+Guards against limits, or their end, that do not reach gateways without traffic to the upstream, and
+against limits that are lost when all replicas restart.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
     return sum(since <= at < until for at in upstream.served_at)
 
 
-def test_a_limit_named_to_one_gateway_binds_all_until_it_ends(tmp_path):
+def test_a_limit_returned_to_one_gateway_applies_to_all_until_it_is_removed(tmp_path):
     async def check(scene):
         (upstream,) = scene.upstreams
         upstream.limit = str(LIMIT)
@@ -34,7 +33,7 @@
         assert served_between(upstream, start, start + WINDOW_S) <= borne(LIMIT)
         assert statuses.count(503) > len(statuses) / 2
         upstream.limit = ""
-        # One of the holders is answered without a limit, and the others hear of it.
+        # One gateway gets a response without a limit, which is passed on to the others.
         await scene.press(scene.names, 1.5 * len(scene.names) / LIMIT, RATE)
         await trio.sleep(KNOWN_WITHIN_S)
         for name in scene.names:
@@ -43,7 +42,7 @@
     play(check, tmp_path, 1)
 
 
-def test_a_limit_is_kept_while_all_replicas_start_anew(tmp_path):
+def test_a_limit_is_kept_while_all_replicas_restart(tmp_path):
     async def check(scene):
         (upstream,) = scene.upstreams
         upstream.limit = str(LIMIT)
--- a/tests/process/test_named_limit.py
+++ b/tests/process/test_named_limit.py
@@ -1,9 +1,6 @@
-"""Upstreams that name to entries how many requests a second they take from all of them.
+"""Upstreams that return to entries the request rate that they accept from all of them together.
 
-Upstreams that had named limits of 7.2 and 2.7 requests a second to gateways got 53 and 28 in 4 s,
-what they would have got without any limit. Entries read the same answers and passed the figure over
-as well: four upstreams that named 1 a second each ran 36 to 48 requests in 4 s, where 11 each are
-bearable.
+Guards against entries that ignore the limit, or that each use all of it.
 """
 
 from __future__ import annotations
@@ -28,13 +25,13 @@
     return [c.address for service, _, c in deployment.upstreams if service == "bays"]
 
 
-def name_limit(deployment, limit: str) -> None:
+def set_limit(deployment, limit: str) -> None:
     for address in bays(deployment):
         fetch(address, "/fake/mode", {"mode": "normal", "limit": limit})
 
 
 def send_load(deployment, seconds: float) -> list:
-    """Call both entries in turn at a steady rate; returns each answer and the time it took."""
+    """Call both entries in turn at a constant rate; return each response with its latency."""
 
     def call(number: int):
         started = time.monotonic()
@@ -50,7 +47,7 @@
 
 
 def max_requests_in_a_window(deployment, address: str, since: float) -> int:
-    """Return the most requests that an upstream has begun in any window after a moment."""
+    """Return the largest number of requests begun in any window after `since`."""
     runs = fetch(address, "/fake/report")["runs"]
     return most_in_a_window([run["started"] for run in runs], since)
 
@@ -58,11 +55,11 @@
 @pytest.fixture(autouse=True)
 def remove_limits(deployment):
     yield
-    name_limit(deployment, "")
+    set_limit(deployment, "")
 
 
-def test_entries_together_send_an_upstream_no_more_than_it_bears(deployment):
-    name_limit(deployment, str(LIMIT))
+def test_entries_together_stay_within_an_upstreams_limit(deployment):
+    set_limit(deployment, str(LIMIT))
     started = time.time()
     answers = send_load(deployment, LOAD_S)
     most = {
@@ -77,15 +74,15 @@
     assert all(int(header(r, "retry-after")) >= 1 for r, _ in refused)
 
 
-def test_entries_serve_all_again_when_answers_name_no_limit_any_more(deployment):
-    name_limit(deployment, str(LIMIT))
+def test_entries_serve_all_requests_again_once_the_limit_is_removed(deployment):
+    set_limit(deployment, str(LIMIT))
     send_load(deployment, 2.0)
-    name_limit(deployment, "")
+    set_limit(deployment, "")
     send_load(deployment, 4.0)
     statuses = [response.status for response, _ in send_load(deployment, 1.0)]
     assert set(statuses) == {200}
 
 
-def test_a_limit_that_makes_no_sense_changes_nothing(deployment):
-    name_limit(deployment, "many")
+def test_an_invalid_limit_is_ignored(deployment):
+    set_limit(deployment, "many")
     assert {response.status for response, _ in send_load(deployment, 1.0)} == {200}
--- a/tests/process/test_other_writers.py
+++ b/tests/process/test_other_writers.py
@@ -1,8 +1,6 @@
-"""Thousands of entries that another writer sends, among those of upstreams.
+"""Thousands of invalid heartbeats, sent by another client among those of upstreams.
 
-An entry that cannot be believed named an upstream to use, and one with 10**30 slots could not be
-passed on to gateways: from then on these heard of no upstream at all. None is kept now, so neither
-the gateways nor the replica's memory may show a trace of them.
+Guards against invalid entries that reach gateways, block the feed or use up a replica's memory.
 """
 
 import itertools
@@ -19,8 +17,8 @@
 SMALL = Shape(replicas=1, gateways=1)
 ENTRIES = 1_500
 CALLERS = 8
-# Megabytes by which a replica may grow more under bad entries than under as many good ones: each
-# call holds about 5 KB for as long as its connection may be kept alive, whatever it says.
+# Memory by which a replica may grow more under invalid entries than under as many valid ones, since
+# each call uses some memory for as long as its connection is kept alive.
 MAX_EXTRA_GROWTH_MB = 6.0
 VALID = {"address": "127.0.0.1:9", "service": "bays", "zone": "z1", "slots": 4, "state": "ready"}
 INVALID_FIELDS = (
@@ -45,15 +43,17 @@
     return int(status.split("VmRSS:")[1].split()[0]) / 1024
 
 
-def test_bad_entries_leave_no_trace(tmp_path):
+def test_invalid_entries_are_not_kept(tmp_path):
     async def check(scene):
         pid = scene.machines._running["c1"].pid
         rng = random.Random(5)
 
-        async def write(numbers, name, odd, statuses):
+        async def write(numbers, name, invalid, statuses):
             while (number := next(numbers)) < ENTRIES:
-                entry = VALID | {"sequence": number} | (rng.choice(INVALID_FIELDS) if odd else {})
-                path = f"/v1/steering/upstreams/{name}-{number if odd else 0}"
+                entry = (
+                    VALID | {"sequence": number} | (rng.choice(INVALID_FIELDS) if invalid else {})
+                )
+                path = f"/v1/steering/upstreams/{name}-{number if invalid else 0}"
                 answer = await scene.control.insist("PUT", path, entry)
                 assert answer[0] in statuses, (entry, answer)
 
@@ -80,7 +80,7 @@
     play(check, tmp_path, 2, shape=SMALL)
 
 
-def test_an_upstream_that_comes_before_its_service_is_used_from_its_next_heartbeat_on(tmp_path):
+def test_an_upstream_that_starts_before_its_service_is_accepted_with_its_next_heartbeat(tmp_path):
     async def check(scene):
         entry = VALID | {"service": "later", "sequence": 1}
         path = "/v1/steering/upstreams/early"
--- a/tests/process/test_restarted_upstream.py
+++ b/tests/process/test_restarted_upstream.py
@@ -1,9 +1,7 @@
-"""An upstream that is killed and starts again under its own id.
+"""An upstream that is killed and restarts under its own id.
 
-Once it had been silent for a while, it was not used again for as long as its first life had lasted.
-Each heartbeat carries a count that tells late ones, and the count of the second life began anew, so
-all of its heartbeats passed for late ones of the first: the replicas' lines said "heartbeat 1 came
-late and is passed over", and so on up to the count that the first life had reached.
+Guards against heartbeats of the new incarnation that are ignored as late, since its sequence starts
+anew.
 """
 
 import pytest
@@ -12,15 +10,15 @@
 from tests.process.mortal import BEAT_S, play
 
 pytestmark = pytest.mark.xdist_group("gateway")
-# Heartbeats within which an upstream that is back gets requests again, and what a request takes.
+# Heartbeats after which a restarted upstream must get requests again, and the time of a request.
 MAX_HEARTBEATS = 2
 REQUEST_TIME_S = 0.3
 FIRST_RUN_HEARTBEATS = 20
-# Seconds away, after which an upstream has long been taken for silent.
+# Down time, long enough for the upstream to count as silent.
 DOWN_S = 5.0
 
 
-def test_an_upstream_that_starts_again_under_its_id_is_used_within_two_heartbeats(tmp_path):
+def test_a_restarted_upstream_is_used_within_two_heartbeats(tmp_path):
     async def check(scene):
         upstream, _ = scene.upstreams
         upstream.back_after_s = DOWN_S
--- a/tests/unit/test_feed_server.py
+++ b/tests/unit/test_feed_server.py
@@ -1,4 +1,4 @@
-"""How long a replica holds a gateway's poll when it has no news."""
+"""How long a replica holds a gateway's poll when there are no changes."""
 
 import msgspec
 import pytest
@@ -54,9 +54,7 @@
 
 
 def test_changed_limits_release_held_polls_at_a_limited_rate():
-    """A gateway that had been told of a limit passed it on with its next poll, 0.6 s later, and
-    the others were told with theirs, 0.6 s after that; until then they sent what they always had.
-    """
+    """Guards against limits that reach other gateways only when their held polls time out."""
 
     async def check():
         server = FeedServer(IdleRunner(), None, 1.5)
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -1,9 +1,7 @@
-"""Two lives of an upstream under one id, told apart by when each was born.
+"""Incarnations of an upstream under one id, told apart by their start times.
 
-An upstream may start again under the id that it had; its count of heartbeats begins anew then. Its
-second life was passed over heartbeat by heartbeat, until the count was beyond that of the first,
-and a mark that the first life left stuck to the second for good. What settled it: after heartbeats
-1 to 40 of the first life, heartbeats 1, 2 and 3 of the second were all taken for late ones.
+Guards against heartbeats of a restarted upstream that are ignored as late, since its sequence
+starts anew, and against a mark of the first incarnation that also binds the second.
 """
 
 import msgspec
@@ -37,44 +35,44 @@
     return Registry(120.0, AddressOwners(OWNER_TIMEOUT_S))
 
 
-def live_sequence(registry):
+def known_sequence(registry):
     return registry.get("i").registration.sequence
 
 
-def test_the_second_life_is_heard_from_its_first_heartbeat():
+def test_the_second_incarnation_is_accepted_from_its_first_heartbeat():
     registry = new_registry()
     registry.record(heartbeat(40), 100.0)
     order = registry.order
     assert registry.record(heartbeat(1, SECOND), 109.0)
-    assert live_sequence(registry) == 1
+    assert known_sequence(registry) == 1
     assert [h.registration.sequence for h in registry.since(order)] == [1]
     assert registry.record(heartbeat(2, SECOND), 110.0)
 
 
-def test_a_mark_binds_the_life_that_was_marked():
+def test_a_mark_applies_only_to_the_marked_incarnation():
     world = World()
     table = UpstreamTable("g", lambda: {"z": "r"}, world, Bounds(), DecisionLog("g", LogWriter()))
     steering = Steering()
     command = {"now_ms": 0, "instance": "i", "kind": "gone", "born": FIRST}
     steering.mark_upstream(msgspec.convert(command, MarkUpstream))
     states = []
-    for place, born in enumerate((FIRST, SECOND)):
-        heard = [HeardUpstream(heartbeat(50 + place, born), 0.0)]
-        feed = Feed(life="k", order=place, image=steering.image(), age=0.0, upstreams=heard)
-        world.learn(feed, float(place))
-        table.refresh(float(place))
+    for order, born in enumerate((FIRST, SECOND)):
+        upstreams = [HeardUpstream(heartbeat(50 + order, born), 0.0)]
+        feed = Feed(life="k", order=order, image=steering.image(), age=0.0, upstreams=upstreams)
+        world.learn(feed, float(order))
+        table.refresh(float(order))
         states.append(table.states())
     assert states == [{"gone": 1}, {"in use": 1}]
 
 
-def test_a_late_heartbeat_of_the_first_life_changes_nothing():
+def test_a_late_heartbeat_of_the_first_incarnation_is_ignored():
     registry = new_registry()
     registry.record(heartbeat(1, SECOND), 109.0)
     assert not registry.record(heartbeat(41), 109.5)
     assert registry.get("i").registration.born == SECOND
 
 
-def test_a_late_heartbeat_that_is_the_first_to_be_heard_ends_with_the_second_life():
+def test_the_second_incarnation_replaces_a_first_known_by_a_late_heartbeat():
     registry = new_registry()
     assert registry.record(heartbeat(41), 109.0)
     assert registry.record(heartbeat(1, SECOND), 109.5)
@@ -82,7 +80,7 @@
     assert registry.get("i").registration.born == SECOND
 
 
-def test_a_clock_that_was_set_back_between_two_lives_heals_within_seconds():
+def test_an_earlier_start_time_is_accepted_once_the_later_incarnation_is_silent():
     registry = new_registry()
     registry.record(heartbeat(40, SECOND), 100.0)
     assert not registry.record(heartbeat(1, FIRST), 100.0 + LATER_INCARNATION_TIMEOUT_S - 0.1)
@@ -90,7 +88,7 @@
     assert registry.get("i").registration.born == FIRST
 
 
-def test_a_heartbeat_without_word_of_its_life_is_of_the_one_that_is_known():
+def test_a_heartbeat_without_start_time_belongs_to_the_known_incarnation():
     registry = new_registry()
     registry.record(heartbeat(3, SECOND), 100.0)
     assert registry.record(heartbeat(4, 0), 101.0)
@@ -98,7 +96,7 @@
     assert not registry.record(heartbeat(3, 0), 102.0)
 
 
-def test_heartbeats_that_never_tell_their_life_go_by_their_count():
+def test_heartbeats_without_any_start_time_are_ordered_by_sequence():
     registry = new_registry()
     assert registry.record(heartbeat(1, 0), 100.0)
     assert registry.record(heartbeat(2, 0), 101.0)
@@ -106,7 +104,7 @@
     assert registry.get("i").registration.life == "i"
 
 
-def test_of_two_at_one_address_that_tell_their_start_the_later_has_it():
+def test_of_two_incarnations_at_one_address_the_later_start_time_owns_it():
     registry = new_registry()
     registry.record(heartbeat(1, SECOND, instance="new"), 109.0)
     assert not registry.record(heartbeat(40, FIRST, instance="old"), 109.5)
@@ -117,7 +115,7 @@
     assert [h.registration.instance for h in registry.silent(110.6, OWNER_TIMEOUT_S)] == ["old"]
 
 
-def test_marks_of_both_lives_are_held_whichever_comes_first():
+def test_marks_of_both_incarnations_are_kept_in_any_order():
     steering = Steering()
     for born in (SECOND, FIRST):
         steering.mark_upstream(MarkUpstream(now_ms=0, instance="i", kind=MarkKind.GONE, born=born))
@@ -127,26 +125,26 @@
     assert copy.mark_of(heartbeat(1, SECOND + 1)) is None
 
 
-def test_a_mark_that_does_not_tell_the_life_binds_all_of_them():
+def test_a_mark_without_start_time_applies_to_all_incarnations():
     steering = Steering()
     steering.mark_upstream(MarkUpstream(now_ms=0, instance="i", kind=MarkKind.GONE))
     assert steering.mark_of(heartbeat(1, FIRST)) is not None
     assert steering.mark_of(heartbeat(1, 0)) is not None
 
 
-def test_a_gateway_keeps_nothing_of_the_first_life():
+def test_a_gateway_keeps_no_state_of_the_first_incarnation():
     world = World()
     table = UpstreamTable("g", lambda: {"z": "r"}, world, Bounds(), DecisionLog("g", LogWriter()))
     ended = []
     table.watch_replaced(ended.append)
     records = []
-    for place, born in enumerate((FIRST, SECOND)):
-        heard = [HeardUpstream(heartbeat(1, born), 0.0)]
-        feed = Feed(life="k", order=place, image=SteeringImage(), age=0.0, upstreams=heard)
-        world.learn(feed, float(place))
-        table.refresh(float(place))
+    for order, born in enumerate((FIRST, SECOND)):
+        upstreams = [HeardUpstream(heartbeat(1, born), 0.0)]
+        feed = Feed(life="k", order=order, image=SteeringImage(), age=0.0, upstreams=upstreams)
+        world.learn(feed, float(order))
+        table.refresh(float(order))
         record = table.get("i")
-        record.note_key("k", float(place))
+        record.note_key("k", float(order))
         record.in_flight += 1
         records.append(record)
     first, second = records
@@ -156,11 +154,13 @@
     assert second.in_flight == 1
 
 
-def test_silence_of_the_first_life_does_not_keep_the_second_from_requests():
+def test_a_silent_first_incarnation_does_not_make_the_second_silent():
     world = World()
     roster = Roster(version=1, silent=[heartbeat(1, FIRST).life])
-    heard = [HeardUpstream(heartbeat(1, SECOND), 0.0)]
-    feed = Feed(life="k", order=1, image=SteeringImage(), age=0.0, upstreams=heard, roster=roster)
+    upstreams = [HeardUpstream(heartbeat(1, SECOND), 0.0)]
+    feed = Feed(
+        life="k", order=1, image=SteeringImage(), age=0.0, upstreams=upstreams, roster=roster
+    )
     world.learn(feed, 1.0)
     assert world.is_silent(heartbeat(1, FIRST).life)
     assert not world.is_silent(heartbeat(1, SECOND).life)
--- a/tests/unit/test_registry.py
+++ b/tests/unit/test_registry.py
@@ -1,4 +1,4 @@
-"""Heartbeats of upstreams, beats of gateways, and what a gateway believes."""
+"""The upstream registry, the gateway table, the directory and a gateway's cluster view."""
 
 from math import inf
 
@@ -56,14 +56,14 @@
     return Feed(**values)
 
 
-def test_a_late_heartbeat_is_passed_over():
+def test_a_late_heartbeat_is_ignored():
     registry = Registry(10.0)
     assert registry.record(registration(sequence=5), 1.0)
     assert not registry.record(registration(sequence=4, state=UpstreamState.DRAINING), 2.0)
     assert registry.get("i").registration.state is UpstreamState.READY
 
 
-def test_since_gives_what_has_said_something_new_in_order():
+def test_since_returns_changed_upstreams_in_order():
     registry = Registry(10.0)
     registry.record(registration("a"), 1.0)
     registry.record(registration("b"), 1.0)
@@ -76,7 +76,7 @@
     assert registry.get("b").heard_at == 2.0
 
 
-def test_only_a_new_end_of_the_cold_time_is_a_change():
+def test_only_a_new_end_of_the_cold_start_is_a_change():
     registry = Registry(10.0)
     registry.record(registration(cold_for=3.0), 1.0)
     mark = registry.order
@@ -87,7 +87,7 @@
     assert registry.order == mark + 1
 
 
-def test_upstreams_are_silent_only_while_others_are_heard():
+def test_upstreams_are_silent_only_while_others_are_live():
     registry = Registry(10.0)
     registry.record(registration("a"), 1.0)
     registry.record(registration("b"), 4.0)
@@ -95,45 +95,45 @@
     assert registry.silent(9.0, 3.0) is None
 
 
-def test_silent_upstreams_are_forgotten():
+def test_silent_upstreams_are_removed():
     registry = Registry(10.0)
     registry.record(registration(), 1.0)
     assert registry.forget_silent(11.5) == ["i"]
     assert len(registry) == 0
 
 
-def test_gateways_are_forgotten_when_silent_and_old_beats_are_passed_over():
-    book = GatewayTable(2.0)
-    book.record(gateway_heartbeat(sequence=2, leaving=True), 1.0)
-    book.record(gateway_heartbeat(sequence=1), 1.5)
-    assert book.live(1.5)[0].heartbeat.leaving
-    assert book.live(3.5) == []
+def test_silent_gateways_are_evicted_and_late_heartbeats_ignored():
+    table = GatewayTable(2.0)
+    table.record(gateway_heartbeat(sequence=2, leaving=True), 1.0)
+    table.record(gateway_heartbeat(sequence=1), 1.5)
+    assert table.live(1.5)[0].heartbeat.leaving
+    assert table.live(3.5) == []
 
 
-def test_a_book_sums_the_demand_of_each_region():
-    book = GatewayTable(2.0)
-    book.record(gateway_heartbeat("a", rates=[ServiceRate("s", 2.0), ServiceRate("t", 1.0)]), 1.0)
-    book.record(gateway_heartbeat("b", rates=[ServiceRate("s", 3.0)], leaving=True), 1.0)
-    book.record(
+def test_a_gateway_table_sums_the_demand_of_each_region():
+    table = GatewayTable(2.0)
+    table.record(gateway_heartbeat("a", rates=[ServiceRate("s", 2.0), ServiceRate("t", 1.0)]), 1.0)
+    table.record(gateway_heartbeat("b", rates=[ServiceRate("s", 3.0)], leaving=True), 1.0)
+    table.record(
         gateway_heartbeat("c", rates=[ServiceRate("s", 4.0)], region="south", ready=False), 1.0
     )
-    assert book.demand(1.0) == [
+    assert table.demand(1.0) == [
         RegionDemand("north", "s", 5.0),
         RegionDemand("north", "t", 1.0),
         RegionDemand("south", "s", 4.0),
     ]
-    assert [peer.name for peer in book.serving(1.0)] == ["a"]
-    assert book.demand(3.5) == []
+    assert [peer.name for peer in table.serving(1.0)] == ["a"]
+    assert table.demand(3.5) == []
 
 
-def test_a_gateway_that_starts_anew_replaces_its_earlier_life():
-    book = GatewayTable(2.0)
-    book.record(gateway_heartbeat(sequence=9, leaving=True), 1.0)
-    book.record(gateway_heartbeat(sequence=1, incarnation="2"), 1.2)
-    assert not book.live(1.2)[0].heartbeat.leaving
+def test_a_restarted_gateway_replaces_its_earlier_incarnation():
+    table = GatewayTable(2.0)
+    table.record(gateway_heartbeat(sequence=9, leaving=True), 1.0)
+    table.record(gateway_heartbeat(sequence=1, incarnation="2"), 1.2)
+    assert not table.live(1.2)[0].heartbeat.leaving
 
 
-def test_the_directory_names_the_callers_region_and_no_one_who_leaves():
+def test_the_directory_prefers_the_callers_region_and_excludes_leaving_gateways():
     gateways = [
         gateway_heartbeat("a"),
         gateway_heartbeat("b", leaving=True),
@@ -149,8 +149,7 @@
     assert choose_gateways(gateways, "west", "", frozenset({"south"})) == ["e:1"]
 
 
-def test_a_zone_that_has_lost_many_gateways_is_helped_by_its_region():
-    # An assumed case after the grown trouble-1, where many of 74 gateways were down or cut.
+def test_callers_of_a_zone_with_few_gateways_get_those_of_the_region():
     whole = [gateway_heartbeat(f"w{n}", zone="y") for n in range(8)]
     left = [gateway_heartbeat(f"l{n}", zone="z") for n in range(3)]
     assert len(choose_gateways([*whole, *left], "north", "z", frozenset())) == 11
@@ -159,28 +158,32 @@
     assert len(choose_gateways([*whole, *even], "north", "z", frozenset())) == 6
 
 
-def test_a_zone_whose_links_are_pressed_is_helped_by_its_region_for_a_while():
-    book = GatewayTable(100.0)
+def test_callers_of_a_congested_zone_get_the_regions_gateways_for_a_while():
+    table = GatewayTable(100.0)
     others = [gateway_heartbeat(f"w{n}", zone="y") for n in range(4)]
     for number in range(4):
-        book.record(gateway_heartbeat(f"l{number}", zone="z", pressed=number == 3, sequence=1), 1.0)
+        table.record(
+            gateway_heartbeat(f"l{number}", zone="z", pressed=number == 3, sequence=1), 1.0
+        )
     for other in others:
-        book.record(other, 1.0)
+        table.record(other, 1.0)
 
-    def named(zone, now):
-        beats = [heard.heartbeat for heard in book.live(now)]
-        return len(choose_gateways(beats, "north", zone, frozenset(), book.is_congested(zone, now)))
+    def gateway_count(zone, now):
+        beats = [heard.heartbeat for heard in table.live(now)]
+        return len(
+            choose_gateways(beats, "north", zone, frozenset(), table.is_congested(zone, now))
+        )
 
-    assert named("z", 1.0) == 4
-    book.record(gateway_heartbeat("l1", zone="z", pressed=True, sequence=2), 2.0)
-    assert (named("z", 2.0), named("y", 2.0)) == (8, 4)
+    assert gateway_count("z", 1.0) == 4
+    table.record(gateway_heartbeat("l1", zone="z", pressed=True, sequence=2), 2.0)
+    assert (gateway_count("z", 2.0), gateway_count("y", 2.0)) == (8, 4)
     for number in range(4):
-        book.record(gateway_heartbeat(f"l{number}", zone="z", sequence=3), 3.0)
-    assert named("z", 9.0) == 8
-    assert named("z", 2.0 + CONGESTION_HOLD_S + 0.1) == 4
+        table.record(gateway_heartbeat(f"l{number}", zone="z", sequence=3), 3.0)
+    assert gateway_count("z", 9.0) == 8
+    assert gateway_count("z", 2.0 + CONGESTION_HOLD_S + 0.1) == 4
 
 
-def test_the_world_takes_ages_into_account_and_never_goes_back():
+def test_the_view_accounts_for_ages_and_never_goes_back():
     steering = Steering()
     steering.change_items(change(service(), route()))
     world = World()
@@ -200,7 +203,7 @@
     return Roster(version=version, **fields)
 
 
-def test_gateways_are_those_that_any_fresh_replica_names():
+def test_gateways_are_those_that_any_fresh_replica_lists():
     world = World()
     world.learn(feed(life="k", roster=roster(serving=peers("a", "b"))), 1.0)
     world.learn(feed(life="l", roster=roster(serving=peers("b", "c"))), 1.5)
@@ -212,7 +215,7 @@
     assert world.roster_version("k") == 0
 
 
-def test_the_last_words_stand_when_control_is_lost():
+def test_the_last_reports_stay_in_use_when_control_is_lost():
     world = World()
     demand = [RegionDemand("north", "s", 5.0)]
     world.learn(feed(roster=roster(serving=peers("a", "b")), demand=demand), 1.0)
@@ -220,7 +223,7 @@
     assert world.serving_count(500.0) == 2
 
 
-def test_sums_are_divided_by_the_most_gateways_known_lately():
+def test_the_serving_count_is_the_recent_maximum():
     world = World()
     assert world.serving_count(0.0) == 1
     world.learn(feed(life="k", roster=roster(serving=peers("a", "b", "c"))), 1.0)
@@ -230,7 +233,7 @@
     assert world.serving_count(15.0) == 1
 
 
-def test_demand_is_taken_from_the_replica_that_hears_most_gateways():
+def test_demand_is_taken_from_the_replica_that_lists_most_gateways():
     world = World()
     few = [RegionDemand("north", "s", 1.0)]
     most = [RegionDemand("north", "s", 5.0)]
@@ -239,7 +242,7 @@
     assert world.demand == most
 
 
-def test_an_upstream_is_silent_when_all_fresh_replicas_say_so():
+def test_an_upstream_is_silent_when_all_fresh_replicas_report_it():
     world = World()
     world.learn(feed(upstreams=[HeardUpstream(registration(), 0.0)]), 1.0)
     world.learn(feed(life="k", roster=roster(silent=["i"])), 1.0)
@@ -253,7 +256,7 @@
     assert world.changes > changes
 
 
-def test_an_upstream_that_stays_silent_is_forgotten():
+def test_an_upstream_that_stays_silent_is_removed():
     world = World()
     world.learn(feed(upstreams=[HeardUpstream(registration(), 0.0)]), 1.0)
     world.learn(feed(roster=roster(silent=["i"])), 2.0)
@@ -263,7 +266,7 @@
     assert world.registry.get("i") is None
 
 
-def test_replicas_of_an_unconfirmed_replica_are_added_only():
+def test_an_unconfirmed_roster_only_adds_replicas():
     world = World()
     world.learn(
         feed(roster=roster(replicas=[ReplicaAddress("a", "a:1"), ReplicaAddress("b", "b:1")])), 1.0
@@ -274,7 +277,7 @@
     assert sorted(world.replicas) == ["c"]
 
 
-def test_an_unconfirmed_configuration_has_to_do_only_after_a_while():
+def test_an_unconfirmed_configuration_is_used_only_after_a_wait():
     steering = Steering()
     steering.change_items(change(service(), route()))
     world = World()
--- a/tests/unit/test_steering_log.py
+++ b/tests/unit/test_steering_log.py
@@ -1,4 +1,4 @@
-"""What a replica logs of its beliefs on heartbeats and pressed zones."""
+"""Log lines of a replica on late heartbeats and congested zones."""
 
 import trio
 import trio.testing
@@ -11,35 +11,35 @@
 
 
 class Control:
-    """The control role as far as these calls go."""
+    """A control role with only what the steering calls use."""
 
     def __init__(self) -> None:
         self.runner = IdleRunner()
         self.feed = FeedServer(self.runner, None, 1.5)
 
 
-class Lines:
-    """Keeps the lines that are written."""
+class LogRecorder:
+    """Collects the lines that are written."""
 
     def __init__(self) -> None:
-        self.kept: list[BeliefChanged] = []
+        self.lines: list[BeliefChanged] = []
 
     def write(self, line) -> None:
-        self.kept.append(line)
+        self.lines.append(line)
 
 
 def play(script):
-    """Run a script beside a replica's steering calls, on virtual time; returns its lines."""
-    lines = Lines()
+    """Run a script against the steering service, on virtual time; return the logged lines."""
+    recorder = LogRecorder()
 
     async def run():
-        await script(SteeringService(Control(), lines, ReplicaMetrics("c1")))
+        await script(SteeringService(Control(), recorder, ReplicaMetrics("c1")))
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    return [(line.subject, line.now) for line in lines.kept]
+    return [(line.subject, line.now) for line in recorder.lines]
 
 
-def test_a_late_heartbeat_gets_a_line():
+def test_a_late_heartbeat_is_logged():
     async def script(service):
         for name, sequence in (("old", 1), ("new", 1), ("old", 7)):
             await service.hear(registration(name, sequence))
@@ -47,16 +47,16 @@
     assert play(script) == [("upstream/old", "heartbeat 7 came late and is passed over")]
 
 
-def test_a_zone_gets_a_line_when_its_callers_are_named_the_region_and_when_no_more():
+def test_the_start_and_end_of_a_zones_congestion_are_logged():
     async def script(service):
-        book = service.control.feed.gateways
+        table = service.control.feed.gateways
         for sequence, pressed in ((1, False), (2, True), (3, False)):
-            book.record(
+            table.record(
                 gateway_heartbeat("g", pressed=pressed, sequence=sequence), trio.current_time()
             )
             assert service.gateways("a.example", "north", "z") == ["g:1"]
         await trio.sleep(10.0)
-        book.record(gateway_heartbeat("g", sequence=4), trio.current_time())
+        table.record(gateway_heartbeat("g", sequence=4), trio.current_time())
         assert service.gateways("a.example", "north", "z") == ["g:1"]
 
     assert play(script) == [("zone/z", "pressed"), ("zone/z", "not pressed")]
