--- a/tests/process/test_gateway.py
+++ b/tests/process/test_gateway.py
@@ -1,4 +1,4 @@
-"""The product's own interface for gateways: the daemon's flags, the API and the tool."""
+"""Finchway's own interfaces for gateways: the daemon's flags, the API and the command line."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.adapter.test_processes import free_ports
 
 pytestmark = pytest.mark.xdist_group("gateway")
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 ITEMS = """
 - {kind: service, name: bays, version: 1, spec: {cold_start: 0}}
@@ -64,13 +64,13 @@
         process.wait()
 
 
-def ask(address, path="/bays/"):
+def send_request(address, path="/bays/"):
     headers = [(b"Host", b"a.example"), (b"Finchway-Request-Id", b"id-1")]
     return httpcore.request("GET", f"http://{address}{path}", headers=headers)
 
 
 def wait_for(condition):
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     while True:
         try:
             value = condition()
@@ -78,7 +78,7 @@
                 return value
         except httpcore.NetworkError:
             pass
-        assert time.monotonic() < deadline, "the condition did not come true"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(0.05)
 
 
@@ -101,21 +101,23 @@
     assert answer.status == 200, answer.content
 
 
-def test_routes_upstreams_and_evacuation_by_the_tool(deployment, finchway, gateway, tmp_path):
+def test_routes_upstreams_and_evacuation_by_the_command_line(
+    deployment, finchway, gateway, tmp_path
+):
     address, upstream, process = gateway
     path = tmp_path / "items.yaml"
     path.write_text(ITEMS)
-    assert wait_for(lambda: ask(address).status == 503)
+    assert wait_for(lambda: send_request(address).status == 503)
     code, out, _ = finchway("change", "-f", str(path))
     assert code == 0
     assert "3 items are held" in out
-    assert wait_for(lambda: ask(address, "/other").status == 404)
+    assert wait_for(lambda: send_request(address, "/other").status == 404)
     sequences = itertools.count(1)
 
     def reaches_upstream():
-        # The plain server knows no such path: its own 404 shows that the request reached it.
+        # The plain file server has no such path, so its own 404 proves that it got the request.
         heartbeat(deployment, upstream, "ready", next(sequences))
-        return b"File not found" in ask(address).content
+        return b"File not found" in send_request(address).content
 
     assert wait_for(reaches_upstream)
     code, out, _ = finchway("steering")
@@ -124,17 +126,17 @@
     assert "i-1" in out
     assert "g1" in out
     assert finchway("evacuate", "north-a")[0] == 0
-    assert wait_for(lambda: ask(address).status == 503)
+    assert wait_for(lambda: send_request(address).status == 503)
     assert json.loads(finchway("steering", "-o", "json")[1])["evacuated"] == ["north-a"]
     assert finchway("readmit", "north-a")[0] == 0
     assert wait_for(reaches_upstream)
     heartbeat(deployment, upstream, "draining", next(sequences))
-    assert wait_for(lambda: ask(address).status == 503)
+    assert wait_for(lambda: send_request(address).status == 503)
     process.send_signal(signal.SIGTERM)
-    assert process.wait(PATIENCE_S) == 0
+    assert process.wait(TIMEOUT_S) == 0
 
 
-def test_faults_of_items_are_reported_with_their_place(finchway, tmp_path):
+def test_invalid_items_are_reported_with_their_position(finchway, tmp_path):
     path = tmp_path / "items.yaml"
     path.write_text(
         "- {kind: route, name: r, version: 1, spec: {hots: a}}\n"
@@ -150,7 +152,7 @@
     assert "no service 'nobody'" in err
 
 
-def test_another_content_under_a_held_version_is_a_conflict(finchway, tmp_path):
+def test_other_content_under_an_existing_version_is_a_conflict(finchway, tmp_path):
     path = tmp_path / "items.yaml"
     path.write_text(ITEMS)
     assert finchway("change", "-f", str(path))[0] == 0
