--- a/src/finchway/gateway/__init__.py
+++ b/src/finchway/gateway/__init__.py
@@ -1,10 +1,10 @@
-"""The gateway role: callers' requests by host and path, carried to upstreams that register."""
+"""The gateway role: routes callers' requests by host and path to registered upstreams."""
 
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._feed_log import FeedLog
 from finchway.gateway._forward import Forwarder
+from finchway.gateway._header_names import HeaderNames
 from finchway.gateway._http import CallerConnection, CallerRequest, HttpServer, Reply
-from finchway.gateway._names import HeaderNames
 from finchway.gateway._reports import ReportSender
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._role import GatewayRole, GatewaySettings
--- a/src/finchway/gateway/_askings.py
+++ b/src/finchway/gateway/_askings.py
@@ -1,4 +1,4 @@
-"""What upstreams have asked of this gateway, by the life that asked, and the lines on it."""
+"""Tracks the pushback of upstreams to this gateway by incarnation, and logs it."""
 
 from __future__ import annotations
 
@@ -11,26 +11,25 @@
 from finchway.pushback import Asked, LeavingLives, LimitWords, RestBook
 from finchway.registry import Registration
 
-# Seconds by which the clocks of an upstream and of this gateway may differ.
-CLOCKS_APART_S = 3.0
-# Upstreams of which the newest asking is remembered.
-MOST_ASKED = 4_096
-# Characters of a header that makes no sense which are logged.
-MOST_SHOWN = 40
+# Seconds by which the clocks of an upstream and this gateway may differ.
+MAX_CLOCK_SKEW_S = 3.0
+MAX_TRACKED_UPSTREAMS = 4_096
+# Characters of an unreadable header that are logged.
+MAX_LOGGED_CHARS = 40
 
 
-class Asking(Struct, frozen=True):
-    """The life in whose name an upstream asked last, and when, in Unix seconds."""
+class LatestPushback(Struct, frozen=True):
+    """The incarnation of an upstream's latest pushback, and its time in Unix seconds."""
 
     life: str
     at: float
 
 
-class Askings:
-    """The rests and the leaving of upstreams, apart from their records.
+class PushbackTracker:
+    """Requested backoffs and announced departures of upstreams.
 
-    An upstream that is not heard of for a moment loses its record, and has asked all the same.
-    `limits` are those that upstreams have named, which a later life may have to keep.
+    They are kept apart from `UpstreamRecord`, since an upstream whose heartbeats are late loses its
+    record while its pushback remains valid. `limits` are passed on to later incarnations.
     """
 
     def __init__(self, decisions: DecisionLog, limits: LimitWords) -> None:
@@ -38,50 +37,50 @@
         self._rests = RestBook(random.Random())
         self._leaving = LeavingLives()
         self._limits = limits
-        self._newest: dict[str, Asking] = {}
+        self._latest: dict[str, LatestPushback] = {}
 
     @property
     def rests(self) -> RestBook:
-        """The rests that upstreams have asked for."""
+        """The backoffs that upstreams have requested."""
         return self._rests
 
     def is_leaving(self, life: str) -> bool:
-        """Tell whether a life has said that it leaves."""
+        """Return whether an incarnation has announced that it leaves."""
         return life in self._leaving
 
-    def note(self, upstream: Registration, asked: Asked, now: float) -> bool:
-        """Take in and log what an answer asks; tells whether it is news that its life leaves."""
+    def note(self, upstream: Registration, pushback: Asked, now: float) -> bool:
+        """Apply and log the pushback of an answer; return whether it newly announces leaving."""
         life = upstream.life
-        if asked.rest_s > 0:
-            self._rests.ask(life, asked.rest_s, now)
-            self._log(life, "asks for rest", f"its 503: {asked.rest_s:g} s")
-        if asked.unread:
-            self._log(life, "unreadable", f"its retry-after: {asked.unread[:MOST_SHOWN]}")
-        if asked.rest_s > 0 or asked.leaving or asked.limit is not None:
-            self._remember(upstream.instance, life)
-        return asked.leaving and self._leaving.add(life)
-
-    def pass_on(self, upstream: Registration) -> None:
-        """Have a life that is new here keep what its upstream asked, if it may have been the one.
-
-        On the wire two lives of an upstream cannot be told apart, and a gateway that is cut off
-        hears of the later one late. Only one that began after the asking has asked for nothing.
+        if pushback.rest_s > 0:
+            self._rests.ask(life, pushback.rest_s, now)
+            self._log(life, "asks for rest", f"its 503: {pushback.rest_s:g} s")
+        if pushback.unread:
+            self._log(life, "unreadable", f"its retry-after: {pushback.unread[:MAX_LOGGED_CHARS]}")
+        if pushback.rest_s > 0 or pushback.leaving or pushback.limit is not None:
+            self._set_latest(upstream.instance, life)
+        return pushback.leaving and self._leaving.add(life)
+
+    def inherit(self, upstream: Registration) -> None:
+        """Apply an upstream's latest pushback to a new incarnation that may have sent it.
+
+        An answer does not name its incarnation, and a gateway may learn of a restart late. Only an
+        incarnation that started after the pushback cannot have sent it.
         """
-        newest = self._newest.get(upstream.instance)
-        if newest is None or newest.life == upstream.life:
+        latest = self._latest.get(upstream.instance)
+        if latest is None or latest.life == upstream.life:
             return
-        if upstream.born / 1000 > newest.at + CLOCKS_APART_S:
+        if upstream.born / 1000 > latest.at + MAX_CLOCK_SKEW_S:
             return
-        self._rests.pass_on(newest.life, upstream.life)
-        self._limits.pass_on(newest.life, upstream.life)
-        if newest.life in self._leaving:
+        self._rests.pass_on(latest.life, upstream.life)
+        self._limits.pass_on(latest.life, upstream.life)
+        if latest.life in self._leaving:
             self._leaving.add(upstream.life)
 
-    def _remember(self, instance: str, life: str) -> None:
-        self._newest.pop(instance, None)
-        self._newest[instance] = Asking(life, WALL.now())
-        if len(self._newest) > MOST_ASKED:
-            del self._newest[next(iter(self._newest))]
+    def _set_latest(self, instance: str, life: str) -> None:
+        self._latest.pop(instance, None)
+        self._latest[instance] = LatestPushback(life, WALL.now())
+        if len(self._latest) > MAX_TRACKED_UPSTREAMS:
+            del self._latest[next(iter(self._latest))]
 
     def _log(self, life: str, now: str, source: str) -> None:
         self._decisions.write(BeliefChanged(subject=f"upstream/{life}", now=now, source=source))
--- a/src/finchway/gateway/_bounds.py
+++ b/src/finchway/gateway/_bounds.py
@@ -1,4 +1,4 @@
-"""The bounds that a deployment sets for gateways and replicas; times in seconds."""
+"""The operating limits that a deployment sets for gateways and replicas."""
 
 from __future__ import annotations
 
@@ -6,14 +6,13 @@
 
 
 class Bounds(Struct, frozen=True, kw_only=True):
-    """What must be kept to, as the deployment's settings say it.
+    """The bounds to observe; times are in seconds.
 
-    `repeat_ratio`, `repeat_slack` and `repeat_window` bound arrivals beyond the first of each
-    request over all gateways; `cold_overage` and `cold_slack` the requests that a cold upstream
-    gets in a second; `shift_per_window` the part of a region's requests that may move to another
-    region between two windows of `shift_window`; `grace` is the time from the request to stop
-    until the process is killed; `apply_within` is the time after which an accepted change must be
-    in force everywhere.
+    `repeat_ratio`, `repeat_slack` and `repeat_window` bound the retries of all gateways together;
+    `cold_overage` and `cold_slack` the requests per second to a cold upstream; `shift_per_window`
+    the share of a region's requests that may move to another region from one `shift_window` to the
+    next. `grace` is the time from the stop signal until the process is killed, and `apply_within`
+    the time in which an accepted change takes effect everywhere.
     """
 
     heartbeat: float = 1.5
--- a/src/finchway/gateway/_connection.py
+++ b/src/finchway/gateway/_connection.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: one request at a time, and answers told apart by request id."""
+"""Connections to upstreams: one request at a time, with answers matched by request id."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 CONNECT_TIMEOUT_S = 0.4
 USER_TIMEOUT_MS = 3_000
-# Probes of a connection at rest: seconds of rest before the first and between two, and how many may
-# stay unanswered. One that went silent is closed after 3 s at most, for one empty packet a second.
-PROBE_AFTER_S = 1
-PROBE_EVERY_S = 1
-PROBES_LOST = 2
+# TCP keepalive: an idle connection whose peer is gone is closed after 3 s.
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 DEFAULT_IDLE_S = 4.0
 IDLE_FRACTION = 0.75
 BUFFERED_ANSWER_BYTES = 256 * 1024
-_HEAD_BYTES = 64 * 1024
-_PIECE_BYTES = 16 * 1024
-_STRAYS_READ = 3
-_COUNT_DIGITS = 9
+_MAX_HEAD_BYTES = 64 * 1024
+_MAX_INLINE_SEND_BYTES = 16 * 1024
+_MAX_ANSWERS_READ = 3
+_MAX_COUNT_DIGITS = 9
 
 
 class Failure(Enum):
-    """How an attempt failed: before anything was sent, or after; `SILENT` for want of any sign.
+    """How an attempt failed: before anything was sent, or after.
 
-    `REFUSED` is a connection that was not made since nothing listens at the address. `UNWANTED` is
-    a request that did not go out since its upstream has asked for rest, or leaves, meanwhile.
+    NOT_CONNECTED: the connection failed. REFUSED: nothing listens at the address. UNWANTED: the
+    upstream became unavailable while the connection was made. BROKEN: the connection or the answer
+    broke off. SILENT: the peer acknowledged nothing until the TCP timeout.
     """
 
     NOT_CONNECTED = "not-connected"
@@ -45,7 +45,7 @@
 
 
 class AttemptError(Exception):
-    """An attempt brought no answer."""
+    """An attempt failed without a complete answer."""
 
     def __init__(self, failure: Failure, detail: str) -> None:
         super().__init__(detail)
@@ -54,7 +54,7 @@
 
 
 class Answer(Struct):
-    """The head of an upstream's answer, with the body as far as it was buffered."""
+    """The head of an upstream's answer, and its body or the buffered part of it."""
 
     status: int
     reason: bytes
@@ -70,36 +70,36 @@
         return None
 
 
-def _hear_nothing(answer: Answer) -> None:
-    """Take no notice of an answer's head."""
+def _ignore_head(answer: Answer) -> None:
+    pass
 
 
 class UpstreamConnection:
-    """One connection to one upstream."""
+    """A connection to an upstream that carries one request at a time."""
 
     def __init__(self, stream: trio.SocketStream, instance: str) -> None:
         self._stream = stream
         self._instance = instance
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_BYTES)
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._idle_until = float("inf")
-        self._idle_for = DEFAULT_IDLE_S
-        self._keep = True
-        self._sent_whole = False
+        self._idle_timeout = DEFAULT_IDLE_S
+        self._is_reusable = True
+        self._request_sent = False
         self._unsent = b""
-        self._is_kept = False
-        self._hear = _hear_nothing
+        self._is_reused = False
+        self._on_head = _ignore_head
 
     @classmethod
     async def open(cls, address: str, instance: str) -> UpstreamConnection:
-        """Connect; raises `AttemptError` if that fails or takes long."""
+        """Connect; raises `AttemptError` on failure or timeout."""
         host, _, port = address.rpartition(":")
         sock = trio.socket.socket()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES_LOST)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
                 await sock.connect((host, int(port)))
@@ -116,16 +116,16 @@
 
     @property
     def instance(self) -> str:
-        """The upstream that the connection was opened for."""
+        """The instance that the connection was opened to."""
         return self._instance
 
     @property
-    def is_kept(self) -> bool:
-        """Whether an earlier request was answered on it."""
-        return self._is_kept
+    def is_reused(self) -> bool:
+        """Whether an earlier request was answered on the connection."""
+        return self._is_reused
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether an idle connection is still young, open, and without unasked bytes."""
+        """Return whether an idle connection is open, not expired, and has no unread bytes."""
         if now >= self._idle_until:
             return False
         poll = select.poll()
@@ -133,9 +133,9 @@
         return not poll.poll(0)
 
     async def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Send a request whose body is at hand.
+        """Prepare a request with a complete body; `receive` sends it.
 
-        A body that does not fit at once goes out in pieces while `receive` waits for the answer.
+        Large requests are sent while `receive` already waits for the answer.
         """
         data = self._http.send(h11.Request(method=method, target=target, headers=headers))
         if body:
@@ -144,7 +144,7 @@
         self._unsent = data
 
     async def send_start(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Send the head and the first part of a body that `send_part` goes on with."""
+        """Send the head and the first part of a streamed body; `send_part` sends the rest."""
         data = self._http.send(h11.Request(method=method, target=target, headers=headers))
         data += self._http.send(h11.Data(data=body)) or b""
         self._unsent = b""
@@ -155,27 +155,27 @@
         await self._write(self._http.send(h11.Data(data=data)) or b"")
 
     async def send_end(self) -> None:
-        """End the body."""
+        """End the streamed body."""
         await self._write(self._http.send(h11.EndOfMessage()) or b"")
-        self._sent_whole = True
+        self._request_sent = True
 
     async def receive(
-        self, id_header: bytes, request_id: str, hear: Callable[[Answer], None] = _hear_nothing
+        self, id_header: bytes, request_id: str, on_head: Callable[[Answer], None] = _ignore_head
     ) -> Answer:
         """Return the answer to the request; raises `AttemptError` if there is none.
 
-        The body is read whole if it is short enough; otherwise `read_part` goes on. Answers with
-        another request's id are passed over. `hear` is given the head of each answer as it comes:
-        what the upstream says there holds, whatever becomes of the body.
+        A short body is read completely; `read_part` reads the rest of a longer one. Answers with
+        another request's id are skipped. `on_head` is called with the head of each answer before
+        the body is read, since the upstream's pushback applies even if the body is cut off.
         """
-        self._hear = hear
-        if len(self._unsent) <= _PIECE_BYTES:
+        self._on_head = on_head
+        if len(self._unsent) <= _MAX_INLINE_SEND_BYTES:
             await self._write(self._unsent)
-            self._sent_whole = True
+            self._request_sent = True
             return await self._receive(id_header, request_id)
         answer = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_pieces)
+            nursery.start_soon(self._send_unsent)
             try:
                 answer = await self._receive(id_header, request_id)
             except AttemptError as error:
@@ -188,38 +188,38 @@
         return answer
 
     async def read_part(self) -> bytes | None:
-        """Return the next part of a long body, None at its end; raises `AttemptError`."""
+        """Return the next part of a long body, or None at its end; raises `AttemptError`."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AttemptError(Failure.BROKEN, "the answer broke off")
+        raise AttemptError(Failure.BROKEN, "answer ended before its body was complete")
 
     def release(self, now: float) -> bool:
-        """Make ready for another request; False if the connection has to be closed."""
+        """Prepare for another request; return False if the connection must be closed."""
         whole = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
-        if not (whole and self._keep and self._sent_whole) or self._http.trailing_data[0]:
+        if not (whole and self._is_reusable and self._request_sent) or self._http.trailing_data[0]:
             return False
         self._http.start_next_cycle()
-        self._sent_whole = False
-        self._is_kept = True
-        self._idle_until = now + self._idle_for * IDLE_FRACTION
+        self._request_sent = False
+        self._is_reused = True
+        self._idle_until = now + self._idle_timeout * IDLE_FRACTION
         return True
 
     def close(self) -> None:
-        """Close at once; what is under way at the upstream is cancelled by it."""
+        """Close at once, which cancels a request in flight at the upstream."""
         self._stream.socket.close()
 
-    async def _send_pieces(self) -> None:
+    async def _send_unsent(self) -> None:
         try:
             await self._stream.send_all(self._unsent)
-            self._sent_whole = True
+            self._request_sent = True
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            self._keep = False
+            self._is_reusable = False
 
     async def _receive(self, id_header: bytes, request_id: str) -> Answer:
-        for _ in range(_STRAYS_READ):
+        for _ in range(_MAX_ANSWERS_READ):
             answer = await self._read_answer()
             got = answer.header(id_header)
             if got is None or got == request_id:
@@ -227,15 +227,17 @@
             while not answer.complete:
                 answer.complete = await self.read_part() is None
             self._restart()
-        raise AttemptError(Failure.BROKEN, "only answers to other requests came")
+        raise AttemptError(Failure.BROKEN, "received only answers to other requests")
 
     def _restart(self) -> None:
-        """Parse what follows a stray answer as the answer to the same request."""
+        """Parse the data after a stray answer as the answer to the current request."""
         rest, closed = self._http.trailing_data
         if self._http.their_state is not h11.DONE:
-            raise AttemptError(Failure.BROKEN, "an answer to another request, and the end")
-        self._keep = False
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_BYTES)
+            raise AttemptError(
+                Failure.BROKEN, "connection ended after an answer to another request"
+            )
+        self._is_reusable = False
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._http.send(h11.Request(method="GET", target="/", headers=[("Host", "stray")]))
         self._http.send(h11.EndOfMessage())
         if rest:
@@ -251,8 +253,8 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise AttemptError(Failure.BROKEN, "closed without an answer")
         answer = Answer(event.status_code, bytes(event.reason), list(event.headers))
-        self._note_keeping(answer)
-        self._hear(answer)
+        self._note_keep_alive(answer)
+        self._on_head(answer)
         parts = []
         size = 0
         while size <= BUFFERED_ANSWER_BYTES:
@@ -265,14 +267,14 @@
         answer.body = b"".join(parts)
         return answer
 
-    def _note_keeping(self, answer: Answer) -> None:
+    def _note_keep_alive(self, answer: Answer) -> None:
         if (answer.header(b"connection") or "").lower() == "close":
-            self._keep = False
+            self._is_reusable = False
         for word in (answer.header(b"keep-alive") or "").split(","):
             name, _, value = word.strip().partition("=")
             seconds = read_count(value)
             if name.lower() == "timeout" and seconds is not None:
-                self._idle_for = float(seconds)
+                self._idle_timeout = float(seconds)
 
     async def _next_event(self):
         try:
@@ -290,23 +292,23 @@
         try:
             await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The answer may be there already; whoever reads next finds out.
-            self._keep = False
+            # The answer may have arrived already; the next read shows it or fails.
+            self._is_reusable = False
 
 
 def read_count(text: str) -> int | None:
-    """Return the whole number that a header tells; None if it is none, or beyond all sense.
+    """Return the whole number in a header's text; None if it is not one, or too long.
 
-    `isdigit` alone takes signs such as "²", which are no numbers.
+    `isdigit` alone accepts characters such as "²", which `int` rejects.
     """
     text = text.strip()
-    if not (text.isascii() and text.isdigit() and len(text) <= _COUNT_DIGITS):
+    if not (text.isascii() and text.isdigit() and len(text) <= _MAX_COUNT_DIGITS):
         return None
     return int(text)
 
 
 def _failure_of(error: Exception) -> Failure:
-    """Tell a connection on which nothing was acknowledged for long from one that was broken off."""
+    """Distinguish a TCP timeout from a connection that the peer closed or reset."""
     cause = error.__cause__
     if isinstance(cause, OSError) and cause.errno == errno.ETIMEDOUT:
         return Failure.SILENT
--- a/src/finchway/gateway/_estimates.py
+++ b/src/finchway/gateway/_estimates.py
@@ -1,64 +1,63 @@
-"""What a gateway learns of a service from its answers: the work of a request, and the strain."""
+"""Estimates the service time and the overload of a service from its answers."""
 
 from __future__ import annotations
 
-# The work follows the lower part of the times: what is above was mostly spent waiting or on keys
-# that the upstream did not remember. With these weights it settles at about the tenth percentile.
-WORK_WEIGHT_UP = 0.005
-WORK_WEIGHT_DOWN = 0.05
-# Part of late answers above which a service counts as strained, and the weight of one answer.
-STRAINED_ABOVE = 0.3
-STRAIN_WEIGHT = 0.02
-# A repeat is slow when it takes this many times the work of a warm one. Work for a key that is not
-# remembered takes about 3.4 times as long on all users' sites.
+# The weights make the estimate follow a low percentile of the response times, since longer ones
+# include queueing or were for cold keys.
+SERVICE_TIME_WEIGHT_UP = 0.005
+SERVICE_TIME_WEIGHT_DOWN = 0.05
+# Fraction of late answers above which a service counts as overloaded, and the weight of one answer.
+OVERLOAD_LATE_FRACTION = 0.3
+LATE_FRACTION_WEIGHT = 0.02
+# Multiple of the service time from which an answer for a warm key is slow.
 SLOW_FACTOR = 3.5
-# Beyond this many times the work of a warm one, a repeat was most likely for a forgotten key: half
-# way, by ratio, between the two.
-FORGOTTEN_FACTOR = 2.2
+# Multiple of the service time from which an answer was most likely for a cold key.
+COLD_KEY_FACTOR = 2.2
 
 
 class ServiceEstimate:
     """The estimates of one service.
 
-    Until answers tell more, an upstream is taken to work for the route's target latency, and the
-    service to be strained.
+    Initially the service time is the route's target latency, and the service counts as overloaded.
     """
 
-    __slots__ = ("_late_part", "_work")
+    __slots__ = ("_late_fraction", "_service_time")
 
     def __init__(self, target_latency: float) -> None:
-        self._work = target_latency
-        self._late_part = 1.0
+        self._service_time = target_latency
+        self._late_fraction = 1.0
 
     @property
-    def work(self) -> float:
-        """Seconds that an upstream works on a request for a key that it remembers."""
-        return self._work
+    def service_time(self) -> float:
+        """Seconds that an upstream takes for a request with a warm key, without queueing."""
+        return self._service_time
 
     @property
-    def is_strained(self) -> bool:
-        """Whether many answers come late, so that reports of load cannot be relied on."""
-        return self._late_part > STRAINED_ABOVE
+    def is_overloaded(self) -> bool:
+        """Whether so many answers are late that load reports are stale."""
+        return self._late_fraction > OVERLOAD_LATE_FRACTION
 
     @property
     def slow_after(self) -> float:
-        """Seconds after which an answer for a remembered key is slow."""
-        return SLOW_FACTOR * self._work
+        """Seconds after which an answer for a warm key is slow."""
+        return SLOW_FACTOR * self._service_time
 
     @property
-    def forgotten_after(self) -> float:
-        """Seconds after which an answer was most likely for a key that is not remembered."""
-        return FORGOTTEN_FACTOR * self._work
+    def cold_key_after(self) -> float:
+        """Seconds after which an answer was most likely for a cold key."""
+        return COLD_KEY_FACTOR * self._service_time
 
     def note_answer(self, seconds: float, target_latency: float) -> None:
-        """Take in the time of a good answer."""
-        weight = WORK_WEIGHT_UP if seconds > self._work else WORK_WEIGHT_DOWN
-        self._work += weight * (seconds - self._work)
+        """Update the estimates from a successful answer."""
+        weight = (
+            SERVICE_TIME_WEIGHT_UP if seconds > self._service_time else SERVICE_TIME_WEIGHT_DOWN
+        )
+        self._service_time += weight * (seconds - self._service_time)
         self._note_late(seconds > target_latency)
 
-    def note_unanswered(self) -> None:
-        """Take in an attempt whose time ran out."""
+    def note_timeout(self) -> None:
+        """Count an attempt that reached its deadline as late."""
         self._note_late(True)
 
     def _note_late(self, is_late: bool) -> None:
-        self._late_part += STRAIN_WEIGHT * (is_late - self._late_part)
+        self._late_fraction += LATE_FRACTION_WEIGHT * (is_late - self._late_fraction)
--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -1,4 +1,4 @@
-"""What a gateway logs and counts of its questions to replicas, and of what it learns from them."""
+"""Logs and counts a gateway's polls of replicas and the changes that they bring."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     ProcessChanged,
 )
 
-# Seconds on the way, both ways together, from which an answer gets a line of its own: six round
-# trips between the regions that are furthest apart.
+# Transit time, both ways together, from which an answer is logged as slow: several round trips
+# between distant regions.
 SLOW_TRANSIT_S = 0.4
 
 
 class FeedLog:
-    """The lines and figures on the feed."""
+    """The log lines and metrics of the feed."""
 
     def __init__(self, decisions: DecisionLog, metrics: GatewayMetrics, lag: LoopLag) -> None:
         self._decisions = decisions
@@ -37,13 +37,13 @@
         self._decisions.write(ProcessChanged(change="regained", detail=f"replica {address}"))
 
     def note_answer(
-        self, address: str, question: Subscribe, asked_at: float, answer: Feed, late_after: float
+        self, address: str, request: Subscribe, sent_at: float, answer: Feed, late_after: float
     ) -> None:
-        """Count an answer; log it if it is slow, late, or the first of a replica process."""
-        seconds = trio.current_time() - asked_at
+        """Count an answer; log it if it is slow, late, or the first of a replica's incarnation."""
+        seconds = trio.current_time() - sent_at
         transit = seconds - answer.held
         self._metrics.count_feed(transit)
-        if answer.life != question.life:
+        if answer.life != request.life:
             outcome = FeedOutcome.FIRST
         elif seconds >= late_after:
             outcome = FeedOutcome.LATE
@@ -51,16 +51,16 @@
             outcome = FeedOutcome.SLOW
         else:
             return
-        self._write(address, question, outcome, seconds, answer)
+        self._write(address, request, outcome, seconds, answer)
 
-    def note_given_up(self, address: str, question: Subscribe, asked_at: float) -> None:
-        """Count and log a question that was given up."""
+    def note_failed(self, address: str, request: Subscribe, sent_at: float) -> None:
+        """Count and log a poll that got no answer."""
         self._metrics.count_feed(None)
-        seconds = trio.current_time() - asked_at
-        self._write(address, question, FeedOutcome.GIVEN_UP, seconds, None)
+        seconds = trio.current_time() - sent_at
+        self._write(address, request, FeedOutcome.GIVEN_UP, seconds, None)
 
-    def note_learned(self, feed: Feed, before: int, revision: int) -> None:
-        """Log what an answer has brought that is newer than the revision `before`."""
+    def note_applied(self, feed: Feed, before: int, revision: int) -> None:
+        """Log the changes in an answer since the revision `before`."""
         for held in feed.image.items:
             self._note_belief(held.item.key, f"version {held.item.version}", held.revision)
         for mark in feed.image.marks:
@@ -91,7 +91,7 @@
     def _write(
         self,
         address: str,
-        question: Subscribe,
+        request: Subscribe,
         outcome: FeedOutcome,
         seconds: float,
         answer: Feed | None,
@@ -103,7 +103,7 @@
                 ms=round(seconds * 1000, 1),
                 held_ms=-1.0 if answer is None else round(answer.held * 1000, 1),
                 upstreams=0 if answer is None else len(answer.upstreams),
-                revision=question.revision,
+                revision=request.revision,
                 lag_ms=round(self._lag.worst_s * 1000, 1),
             )
         )
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -1,4 +1,4 @@
-"""Carries one request to an upstream and its answer back."""
+"""Forwards requests to upstreams and their answers to the callers."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
     UpstreamConnection,
     read_count,
 )
+from finchway.gateway._header_names import HOP_HEADERS, HeaderNames
 from finchway.gateway._http import (
     CallerConnection,
     CallerLeftError,
@@ -25,9 +26,8 @@
     Headers,
     Reply,
 )
-from finchway.gateway._names import HOP_HEADERS, HeaderNames
 from finchway.gateway._outcome import Outcome, Verdict
-from finchway.gateway._record import SHED_REST_S, UpstreamRecord
+from finchway.gateway._record import SHED_BACKOFF_S, UpstreamRecord
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._router import Router
 from finchway.gateway._suspects import Clearance, SuspectDesk
@@ -35,19 +35,18 @@
 from finchway.gateway._task import Choice, Task
 from finchway.pushback import ASKED_NOTHING, is_own_answer, read_asked
 
-# Seconds after which refused callers are told to come back, drawn between the two: 0.25 s for all
-# brought them back into the same surge (docs/DESIGN.md, "Gateways").
-COME_BACK_LEAST_S = 0.4
-COME_BACK_MOST_S = 1.0
-# The longest time that a caller is told to stay away while upstreams rest: others may come.
-COME_BACK_LATEST_S = 30.0
+# Range of the random Retry-After of refusals, so that refused callers do not retry together.
+MIN_RETRY_AFTER_S = 0.4
+MAX_RETRY_AFTER_S = 1.0
+# Longest Retry-After while all upstreams are in backoff; new upstreams may register meanwhile.
+RETRY_AFTER_CAP_S = 30.0
 CANCELLED = "cancelled: out of time, or the caller left"
-# Seconds that must be left for a further attempt: a round trip within a region and some work.
-_LEAST_LEFT_S = 0.02
+# Time that must be left before the deadline for a further attempt.
+_MIN_ATTEMPT_S = 0.02
 
 
 class Forwarder:
-    """Carries the requests of one gateway."""
+    """Forwards the requests of one gateway."""
 
     def __init__(
         self,
@@ -70,21 +69,23 @@
 
     @property
     def in_flight(self) -> int:
-        """How many requests are being carried."""
+        """Number of requests in flight."""
         return self._in_flight
 
     async def serve(self, connection: CallerConnection, request: CallerRequest) -> None:
-        """Answer one request of a caller."""
+        """Forward one request of a caller and send the answer."""
         if not self._world.is_ready:
-            await self._refuse(connection, request, _come_back(503), "no configuration yet")
+            await self._refuse(connection, request, _retry_later(503), "no configuration yet")
             return
         matched = self._world.steering.catalog.match(request.host, request.path)
         if matched is None:
-            await self._deny(connection, request)
+            await self._refuse_unrouted(connection, request)
             return
         task = self._task(request, *matched)
         if task is None:
-            await self._refuse(connection, request, Reply(400), "no id, or a malformed deadline")
+            await self._refuse(
+                connection, request, Reply(400), "request id missing or deadline malformed"
+            )
             return
         self._in_flight += 1
         try:
@@ -92,16 +93,18 @@
         finally:
             self._in_flight -= 1
 
-    async def _deny(self, connection: CallerConnection, request: CallerRequest) -> None:
-        """Say that there is no route, if that is known; else send the caller elsewhere.
+    async def _refuse_unrouted(self, connection: CallerConnection, request: CallerRequest) -> None:
+        """Answer 404 if the gateway's configuration is current, otherwise 503.
 
-        A gateway that control reaches late or not at all may lack a route that was accepted long
-        ago, and a 404 is final for its caller.
+        A 404 is final for its caller, and a gateway that is cut off from control may lack a route
+        that was accepted long ago.
         """
         if self._world.knows_all_until(trio.current_time() - self._apply_within):
             await self._refuse(connection, request, Reply(404), "no route")
             return
-        await self._refuse(connection, request, _come_back(503), "no route known, but there may be")
+        await self._refuse(
+            connection, request, _retry_later(503), "no route known, but there may be"
+        )
 
     async def _refuse(
         self, connection: CallerConnection, request: CallerRequest, reply: Reply, reason: str
@@ -116,13 +119,13 @@
             return None
         allowed = request.header(self._names.deadline_ms)
         try:
-            patience = float(allowed) / 1000 if allowed else route.timeout
+            timeout = float(allowed) / 1000 if allowed else route.timeout
         except ValueError:
             return None
-        if not math.isfinite(patience):
+        if not math.isfinite(timeout):
             return None
-        deadline = request.arrived_at + min(patience, route.timeout)
-        service = self._router.split(name, route)
+        deadline = request.arrived_at + min(timeout, route.timeout)
+        service = self._router.select_service(name, route)
         key = request.header(self._names.affinity_key) if route.affinity else None
         task = Task(
             request,
@@ -143,7 +146,7 @@
         left = trio.Event()
         outcome = Outcome(Verdict.LEFT)
         if connection.has_left:
-            # Nobody waits: a gateway that was frozen would bring what piled up to the upstreams.
+            # After a stall, a gateway must not send the backlog of departed callers upstream.
             self._log.note_ended(task, 0, "the caller had left")
             raise CallerLeftError
         clearance = self._suspects.clearance(task, trio.current_time())
@@ -153,29 +156,30 @@
         task.once = clearance is Clearance.ONCE
         self._router.count_request(task, trio.current_time())
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch, connection, task, left, nursery.cancel_scope)
-            with trio.move_on_at(task.deadline), self._suspects.carrying(task), task.scope:
+            nursery.start_soon(self._cancel_when_left, connection, task, left, nursery.cancel_scope)
+            with trio.move_on_at(task.deadline), self._suspects.track(task), task.scope:
                 outcome = Outcome(Verdict.NOT_RUN, "deadline")
-                outcome = await self._attempts(connection, task)
+                outcome = await self._run_attempts(connection, task)
             nursery.cancel_scope.cancel()
         if task.is_quarantined and outcome.answer is None:
             verdict = Verdict.UNKNOWN if task.attempts else Verdict.NOT_RUN
-            outcome = Outcome(verdict, "quarantined while under way")
+            outcome = Outcome(verdict, "quarantined while in flight")
         if left.is_set() and outcome.answer is None:
             self._log.note_ended(task, 0, "the caller left")
             raise CallerLeftError
-        await self._answer(connection, task, outcome)
+        await self._reply(connection, task, outcome)
 
     async def _refuse_quarantined(self, connection: CallerConnection, task: Task) -> None:
-        """Refuse a request at once that no upstream will be given soon, and say when to come back.
+        """Refuse a quarantined request with a Retry-After.
 
-        It is refused as not run, not denied: that it ends upstreams is concluded, not known.
+        The status is 503 for "not run" rather than a denial, since it is only inferred that the
+        request crashes upstreams.
         """
-        after = self._suspects.quarantined_for(task)
+        after = self._suspects.retry_after(task)
         self._log.note_quarantined(task)
         await connection.reply(Reply(503, headers=((b"Retry-After", f"{after:.0f}".encode()),)))
 
-    async def _watch(
+    async def _cancel_when_left(
         self,
         connection: CallerConnection,
         task: Task,
@@ -183,29 +187,29 @@
         scope: trio.CancelScope,
     ) -> None:
         await task.is_read.wait()
-        await connection.watch()
+        await connection.wait_closed()
         left.set()
         scope.cancel()
 
     # Attempts
 
-    async def _attempts(self, connection: CallerConnection, task: Task) -> Outcome:
-        """Try upstreams one after the other; the outcome is never better than any attempt's."""
+    async def _run_attempts(self, connection: CallerConnection, task: Task) -> Outcome:
+        """Try upstreams in turn; once an attempt may have run, the outcome is not NOT_RUN."""
         outcome = Outcome(Verdict.NOT_RUN, "no upstream")
         while task.attempts < task.route.max_attempts:
             now = trio.current_time()
-            denied = self._forbidden(task, outcome, now) if task.attempts else ""
+            denied = self._retry_denial(task, outcome, now) if task.attempts else ""
             choice = None if denied else self._router.choose(task, now)
             if choice is None and not task.attempts:
                 return Outcome(Verdict.NOT_RUN, task.refusal)
             if (
                 choice is not None
                 and task.attempts
-                and not self._router.may_repeat(task.service, now)
+                and not self._router.may_retry(task.service, now)
             ):
                 denied = "the budget for repeats is used up"
             if denied or choice is None:
-                self._log.note_denied(task, denied or task.refusal, outcome)
+                self._log.note_retry_denied(task, denied or task.refusal, outcome)
                 return outcome
             task.tried.add(choice.record.registration.instance)
             earlier = outcome
@@ -216,16 +220,16 @@
                 outcome.verdict = Verdict.UNKNOWN
         return outcome
 
-    def _forbidden(self, task: Task, outcome: Outcome, now: float) -> str:
-        """Return why a further attempt must not be made; empty if it may."""
+    def _retry_denial(self, task: Task, outcome: Outcome, now: float) -> str:
+        """Return why no further attempt may be made; empty if one may."""
         if task.request.more:
             return "the body was streamed"
         may_have_run = outcome.verdict is Verdict.UNKNOWN
         if may_have_run and task.route.type is not RouteType.SAFE:
             return "it may have run and must not run twice"
-        if task.deadline - now < _LEAST_LEFT_S:
+        if task.deadline - now < _MIN_ATTEMPT_S:
             return "no time left"
-        if may_have_run and (task.once or not self._suspects.may_repeat(task, now)):
+        if may_have_run and (task.once or not self._suspects.may_retry(task, now)):
             return "upstreams have ended under it"
         return ""
 
@@ -243,17 +247,17 @@
             record.in_use.add(upstream)
             task.attempts += 1
             answer = await self._exchange(connection, task, record, upstream, now)
-            outcome = self._judge(task, choice, upstream, answer, now)
+            outcome = self._classify_answer(task, choice, upstream, answer, now)
             whole = answer.complete
             streams = not whole and outcome.verdict is Verdict.ANSWERED
             return outcome
         except AttemptError as error:
-            outcome = self._judge_failure(task, record, error)
+            outcome = self._classify_failure(task, record, error)
             return outcome
         finally:
             self._table.release(reserved, outcome.verdict is Verdict.ANSWERED)
             if outcome.detail == CANCELLED and trio.current_time() >= task.deadline:
-                self._note_unanswered(task, record, upstream)
+                self._note_timeout(task, record, upstream)
             self._log.note_attempt(task, choice, outcome, started)
             if upstream is not None:
                 record.in_use.discard(upstream)
@@ -262,38 +266,38 @@
                 elif not streams:
                     upstream.close()
 
-    def _judge_failure(self, task: Task, record: UpstreamRecord, error: AttemptError) -> Outcome:
-        """Return how an attempt without an answer ended, and take in what it says."""
+    def _classify_failure(self, task: Task, record: UpstreamRecord, error: AttemptError) -> Outcome:
+        """Return the outcome of a failed attempt and update the upstream's record."""
         now = trio.current_time()
         match error.failure:
             case Failure.UNWANTED:
                 return Outcome(Verdict.NOT_RUN, error.detail, record=record)
             case Failure.NOT_CONNECTED | Failure.REFUSED:
                 self._router.note_broken(record)
-                record.fail(now)
+                record.note_failure(now)
                 record.close_idle()
                 return Outcome(Verdict.NOT_RUN, error.detail, record=record)
             case Failure.SILENT:
                 self._router.note_broken(record)
-                record.rest(now, SHED_REST_S)
+                record.back_off(now, SHED_BACKOFF_S)
                 record.close_idle()
             case Failure.BROKEN:
                 self._router.note_broken(record)
-                record.rest(now, SHED_REST_S)
+                record.back_off(now, SHED_BACKOFF_S)
                 self._suspects.note_broken(task, record)
         return Outcome(Verdict.UNKNOWN, error.detail, record=record)
 
-    def _note_unanswered(
+    def _note_timeout(
         self, task: Task, record: UpstreamRecord, upstream: UpstreamConnection | None
     ) -> None:
-        """Take in an attempt whose time ran out.
+        """Record an attempt that reached its deadline.
 
-        A kept connection may have gone silent without a reset, and those kept beside it with it:
-        each would hold another request until its time is up.
+        A reused connection may be dead without a reset, and the other idle ones with it, so these
+        are closed before further requests time out on them.
         """
-        record.leave_unanswered(trio.current_time())
-        self._router.note_unanswered(task, record)
-        if upstream is not None and upstream.is_kept:
+        record.note_timeout(trio.current_time())
+        self._router.note_timeout(task, record)
+        if upstream is not None and upstream.is_reused:
             record.close_idle()
 
     async def _exchange(
@@ -306,29 +310,31 @@
     ) -> Answer:
         request = task.request
         headers = self._headers(task, record)
-        hear = functools.partial(self._hear, task, record, sent_at)
+        on_head = functools.partial(self._note_head, task, record, sent_at)
         if not request.more:
             await upstream.send(request.method, request.target, headers, request.body)
-            return await upstream.receive(self._names.request_id, task.request_id, hear)
+            return await upstream.receive(self._names.request_id, task.request_id, on_head)
         await upstream.send_start(request.method, request.target, headers, request.body)
         while (part := await connection.read_more()) is not None:
             await upstream.send_part(part)
         task.is_read.set()
         await upstream.send_end()
-        return await upstream.receive(self._names.request_id, task.request_id, hear)
+        return await upstream.receive(self._names.request_id, task.request_id, on_head)
 
-    def _hear(self, task: Task, record: UpstreamRecord, sent_at: float, answer: Answer) -> None:
-        """Take in what the head of an answer asks of this gateway."""
+    def _note_head(
+        self, task: Task, record: UpstreamRecord, sent_at: float, answer: Answer
+    ) -> None:
+        """Apply the pushback in the head of an answer."""
         names = self._names
         now = trio.current_time()
-        asked = read_asked(answer.status, answer.headers, names.leaving, names.limit, WALL.now())
+        pushback = read_asked(answer.status, answer.headers, names.leaving, names.limit, WALL.now())
         if is_own_answer(answer.status):
-            self._table.limits.note(record.registration.life, asked, sent_at, now)
-        if asked is ASKED_NOTHING:
+            self._table.limits.note(record.registration.life, pushback, sent_at, now)
+        if pushback is ASKED_NOTHING:
             return
-        task.asked = asked
-        self._table.note_asked(record, asked, now)
-        self._log.note_asked(task)
+        task.asked = pushback
+        self._table.note_pushback(record, pushback, now)
+        self._log.count_pushback(task)
 
     def _headers(self, task: Task, record: UpstreamRecord) -> Headers:
         names = self._names
@@ -351,7 +357,7 @@
             kept.append((b"content-length", str(len(request.body)).encode()))
         return kept
 
-    def _judge(
+    def _classify_answer(
         self,
         task: Task,
         choice: Choice,
@@ -364,48 +370,48 @@
         self._note_load(record, answer, now)
         refused = answer.status == 421 or answer.header(self._names.not_executed) is not None
         if not refused:
-            record.succeed()
+            record.note_success()
             self._router.note_answer(task, choice, answer.status, now - sent_at, now)
             if answer.status < 500:
-                # One that an upstream gave up at the deadline may never have begun.
+                # A 5xx does not show that the request ran: it may have timed out in a queue.
                 self._suspects.note_answered(task)
             return Outcome(Verdict.ANSWERED, "", answer, upstream, record)
         if answer.status == 421:
-            record.fail(now)
+            record.note_failure(now)
             record.close_idle()
         elif task.asked.rest_s > 0:
-            # Free slots say nothing here: it wants none of them filled, not even by the repeat.
-            record.rest(now, SHED_REST_S)
+            # The upstream requested a backoff, so its free slots must not be used for the retry.
+            record.back_off(now, SHED_BACKOFF_S)
         elif self._router.note_refused(record, now):
-            # No other upstream is better for the repeat: this one remembers the key.
+            # The key is warm here, so the retry may go to the same upstream.
             task.tried.discard(record.registration.instance)
         else:
-            record.rest(now, SHED_REST_S)
+            record.back_off(now, SHED_BACKOFF_S)
         return Outcome(Verdict.NOT_RUN, f"refused with {answer.status}", record=record)
 
     def _note_load(self, record: UpstreamRecord, answer: Answer, now: float) -> None:
         parts = (answer.header(self._names.load) or "").split(",")
         counts = [read_count(part) for part in parts[:2]]
         if len(counts) == 2 and None not in counts:
-            record.report(*counts, now)
+            record.note_load(*counts, now)
 
     # Answers
 
-    async def _answer(self, connection: CallerConnection, task: Task, outcome: Outcome) -> None:
+    async def _reply(self, connection: CallerConnection, task: Task, outcome: Outcome) -> None:
         if outcome.answer is not None:
             self._log.note_ended(task, outcome.answer.status, "answered")
-            await self._pass_on(connection, outcome)
+            await self._relay_answer(connection, outcome)
             return
         out_of_time = trio.current_time() >= task.deadline
         if outcome.verdict is Verdict.NOT_RUN and not (out_of_time and task.attempts):
-            task.back_in = self._router.back_in(task, trio.current_time())
-            reply = _come_back(503, task.back_in)
+            task.back_in = self._router.available_in(task, trio.current_time())
+            reply = _retry_later(503, task.back_in)
         else:
             reply = Reply(504 if out_of_time else 502)
         self._log.note_ended(task, reply.status, outcome.detail)
         await connection.reply(reply)
 
-    async def _pass_on(self, connection: CallerConnection, outcome: Outcome) -> None:
+    async def _relay_answer(self, connection: CallerConnection, outcome: Outcome) -> None:
         answer = outcome.answer
         headers = [(n, v) for n, v in answer.headers if n not in HOP_HEADERS]
         if answer.complete:
@@ -427,11 +433,8 @@
             upstream.close()
 
 
-def _come_back(status: int, earliest: float = 0.0) -> Reply:
-    """Return a refusal that says when to come back, `earliest` seconds from now if that is known.
-
-    The time is drawn, so that callers who were refused together do not come back together.
-    """
-    least = min(max(COME_BACK_LEAST_S, earliest), COME_BACK_LATEST_S)
-    after = random.uniform(least, least + COME_BACK_MOST_S - COME_BACK_LEAST_S)
+def _retry_later(status: int, delay: float = 0.0) -> Reply:
+    """Return a refusal with a randomised Retry-After of at least `delay` seconds, up to a cap."""
+    least = min(max(MIN_RETRY_AFTER_S, delay), RETRY_AFTER_CAP_S)
+    after = random.uniform(least, least + MAX_RETRY_AFTER_S - MIN_RETRY_AFTER_S)
     return Reply(status, headers=((b"Retry-After", f"{after:.2f}".encode()),))
--- a/src/finchway/gateway/_names.py
+++ b/src/finchway/gateway/_header_names.py
@@ -1,4 +1,4 @@
-"""The header names that a gateway uses towards callers and upstreams, all in lower case."""
+"""Names of the HTTP headers between callers, gateways and upstreams, in lower case."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HeaderNames(Struct, frozen=True, kw_only=True):
-    """Names of the headers with a meaning; a deployment may bring its own."""
+    """Names of the headers that a gateway interprets; a deployment may set its own."""
 
     request_id: bytes = b"finchway-request-id"
     deadline_ms: bytes = b"finchway-deadline-ms"
--- a/src/finchway/gateway/_http.py
+++ b/src/finchway/gateway/_http.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards callers: h11 on trio streams.
+"""HTTP/1.1 server for callers, based on h11 and trio streams.
 
-hypercorn does not show a connection: when a caller leaves, what it sent beyond its request, or
-when to stop reading a body. A gateway's promises hang on just these, so it uses the parser that
-hypercorn uses. The same server answers the small calls of control, directory and readiness.
+hypercorn does not expose connections: a caller's disconnect, pipelined data, or flow control of
+request bodies. A gateway depends on these, so it uses h11 directly. The same server handles the
+requests to control, directory and readiness.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 _LOG = logging.getLogger(__name__)
 READ_BYTES = 64 * 1024
 BUFFERED_BODY_BYTES = 1024 * 1024
-_PENDING_BYTES = 64 * 1024
-_LINGER_S = 0.5
-# Seconds between two looks at which connections have fallen idle while a server stops.
-STOP_CHECK_S = 0.02
+_MAX_PIPELINED_BYTES = 64 * 1024
+_CLOSE_TIMEOUT_S = 0.5
+# Interval of checks for idle connections while the server stops.
+STOP_CHECK_INTERVAL_S = 0.02
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -35,7 +35,7 @@
 
 
 class Reply(Struct, frozen=True):
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes = b""
@@ -44,9 +44,9 @@
 
 
 class CallerRequest(Struct):
-    """A request as it was read; `more` tells that only the start of its body is in `body`.
+    """A caller's request; if `more` is set, `body` has only the first part of a long body.
 
-    `caller` is the address that its connection comes from, without the port.
+    `caller` is the remote address without the port.
     """
 
     method: str
@@ -60,7 +60,7 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query string."""
         return self.target.partition("?")[0]
 
     def header(self, name: bytes) -> str | None:
@@ -72,7 +72,7 @@
 
 
 class CallerConnection:
-    """One connection of a caller, and the request that is being answered on it."""
+    """A caller's connection, and the request that is being handled on it."""
 
     def __init__(self, stream: trio.SocketStream, limits: Callable[[], Limits]) -> None:
         self._stream = stream
@@ -82,37 +82,37 @@
             h11.SERVER, max_incomplete_event_size=max(limits().header_bytes, 1024)
         )
         self._closing = False
-        self._said_close = False
-        self._answered = False
-        self._busy = False
-        self._rests_since = trio.current_time()
+        self._close_announced = False
+        self._head_sent = False
+        self._in_request = False
+        self._idle_since = trio.current_time()
 
     @property
     def has_answered(self) -> bool:
-        """Whether the head of an answer has been sent for the present request."""
-        return self._answered
+        """Whether the head of the answer to the current request has been sent."""
+        return self._head_sent
 
     @property
     def has_left(self) -> bool:
-        """Whether the caller has closed its connection already."""
+        """Whether the caller has closed its connection."""
         return self._has_event(select.POLLRDHUP)
 
     def close_after_answer(self) -> None:
-        """Have the next answer say that it is the last one on this connection."""
+        """Close the connection after the next answer, which announces it."""
         self._closing = True
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether the connection can be closed without cutting off a request.
+        """Return whether the connection can be closed without cutting off a request.
 
-        It cannot while a part of a request is held or lies unread, nor in the first moment after it
-        came or was answered on: the caller has not been told that it closes.
+        It cannot while a request is handled or has unread data, nor shortly after it was opened or
+        used, since the caller may be sending the next request.
         """
-        if self._busy or self._http.trailing_data[0]:
+        if self._in_request or self._http.trailing_data[0]:
             return False
-        return now - self._rests_since >= NEXT_REQUEST_S and not self._has_event(select.POLLIN)
+        return now - self._idle_since >= NEXT_REQUEST_S and not self._has_event(select.POLLIN)
 
     def _has_event(self, event: int) -> bool:
-        """Tell whether the socket has an event, or is closed already."""
+        """Return whether the socket has an event pending, or is closed."""
         descriptor = self._stream.socket.fileno()
         if descriptor < 0:
             return True
@@ -121,24 +121,24 @@
         return bool(poll.poll(0))
 
     async def read(self) -> CallerRequest | None:
-        """Return the next request, or None when the connection is over.
+        """Return the next request, or None if the connection has ended.
 
-        A request that breaks a limit is answered here, and the connection ends.
+        A request that exceeds a limit is refused here, and the connection ends.
         """
         limits = self._limits()
         head = None
         with trio.move_on_after(limits.idle_timeout):
-            if not self._http.trailing_data[0] and not await self._fill():
+            if not self._http.trailing_data[0] and not await self._receive():
                 return None
-            with trio.move_on_after(limits.header_timeout) as patience:
+            with trio.move_on_after(limits.header_timeout) as timeout:
                 head = await self._next_event()
-            if patience.cancelled_caught:
+            if timeout.cancelled_caught:
                 await self.reply(Reply(408), close=True)
                 return None
         if not isinstance(head, h11.Request):
             return None
-        self._busy = True
-        self._answered = False
+        self._in_request = True
+        self._head_sent = False
         return await self._read_body(head, limits)
 
     async def _read_body(self, head: h11.Request, limits: Limits) -> CallerRequest | None:
@@ -184,7 +184,7 @@
         return request
 
     async def read_more(self) -> bytes | None:
-        """Return the next part of a body that was too long to be read whole; None at its end."""
+        """Return the next part of a streamed body, or None at its end."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
@@ -192,10 +192,10 @@
             return None
         raise CallerLeftError
 
-    async def watch(self) -> None:
-        """Return once the caller has closed its connection; what it sends meanwhile is kept."""
+    async def wait_closed(self) -> None:
+        """Return once the caller has closed its connection; data received until then is kept."""
         pending = 0
-        while pending < _PENDING_BYTES:
+        while pending < _MAX_PIPELINED_BYTES:
             try:
                 data = await self._stream.receive_some(READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -207,7 +207,7 @@
         await trio.sleep_forever()
 
     async def reply(self, reply: Reply, close: bool = False) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         headers = [(b"Content-Length", str(len(reply.body)).encode()), *reply.headers]
         if reply.body:
             headers.append((b"Content-Type", reply.content_type))
@@ -216,7 +216,7 @@
     async def send_whole(
         self, status: int, reason: bytes, headers: Headers, body: bytes, close: bool = False
     ) -> None:
-        """Send head and body of an answer in one piece."""
+        """Send the head and body of an answer in one write."""
         data = self._head(status, reason, headers, close)
         if body:
             data += self._http.send(h11.Data(data=body)) or b""
@@ -224,15 +224,15 @@
         await self._write(data)
 
     async def send_head(self, status: int, reason: bytes, headers: Headers) -> None:
-        """Send the head of an answer whose body follows in parts."""
+        """Send the head of an answer with a streamed body."""
         await self._write(self._head(status, reason, headers, False))
 
     async def send_part(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a part of a streamed body."""
         await self._send(h11.Data(data=data))
 
     async def send_end(self) -> None:
-        """End the body."""
+        """End a streamed body."""
         await self._send(h11.EndOfMessage())
 
     def _head(self, status: int, reason: bytes, headers: Headers, close: bool) -> bytes:
@@ -240,19 +240,20 @@
         if self._http.their_state is not h11.DONE and self._http.their_state is not h11.MUST_CLOSE:
             self._closing = True
         if self._closing:
-            self._said_close = True
+            self._close_announced = True
             headers = [*headers, (b"Connection", b"close")]
-        self._answered = True
+        self._head_sent = True
         return self._http.send(h11.Response(status_code=status, reason=reason, headers=headers))
 
     async def finish(self) -> bool:
-        """Make ready for the next request; False if the connection has to end.
+        """Prepare for the next request; return False if the connection must end.
 
-        An answer that did not say so ends no connection: its caller may have sent another request.
+        Without an announced close the connection stays open, since the caller may have sent another
+        request.
         """
-        self._busy = False
-        self._rests_since = trio.current_time()
-        if self._said_close or self._http.our_state is not h11.DONE:
+        self._in_request = False
+        self._idle_since = trio.current_time()
+        if self._close_announced or self._http.our_state is not h11.DONE:
             return False
         if self._http.their_state is not h11.DONE:
             return False
@@ -260,9 +261,9 @@
         return True
 
     async def close(self) -> None:
-        """Close in order: what was sent arrives, even if the caller is still sending."""
+        """Close gracefully, so that the answer arrives even if the caller is still sending."""
         unread = self._http.their_state is h11.SEND_BODY
-        with trio.move_on_after(_LINGER_S if unread else 0.05):
+        with trio.move_on_after(_CLOSE_TIMEOUT_S if unread else 0.05):
             try:
                 await self._stream.send_eof()
                 while unread and await self._stream.receive_some(READ_BYTES):
@@ -272,7 +273,7 @@
         await trio.aclose_forcefully(self._stream)
 
     async def abort(self) -> None:
-        """Break the connection off, so that an answer cut short does not look complete."""
+        """Reset the connection, so that a truncated answer does not look complete."""
         self._stream.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00"
         )
@@ -283,10 +284,10 @@
             event = self._http.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            if not await self._fill():
+            if not await self._receive():
                 raise CallerLeftError
 
-    async def _fill(self) -> bool:
+    async def _receive(self) -> bool:
         data = await self._stream.receive_some(READ_BYTES)
         self._http.receive_data(data)
         return bool(data)
@@ -302,7 +303,7 @@
 
 
 def _address_of(stream: trio.SocketStream) -> str:
-    """Return the address at the other end of a connection; empty if it has ended already."""
+    """Return the remote address of a connection; empty if it is closed."""
     try:
         return str(stream.socket.getpeername()[0])
     except OSError:
@@ -313,28 +314,32 @@
 
 
 class HttpServer:
-    """Listens on one address and has each request served."""
+    """Listens on an address and passes each request to `serve`."""
 
     def __init__(
-        self, address: str, serve: Serve, limits: Callable[[], Limits] = Limits, most: int = 3_000
+        self,
+        address: str,
+        serve: Serve,
+        limits: Callable[[], Limits] = Limits,
+        max_connections: int = 3_000,
     ) -> None:
         self._serve = serve
         self._limits = limits
-        self._most = most
+        self._max_connections = max_connections
         self._connections: dict[CallerConnection, trio.CancelScope] = {}
-        self._listener = Listener(address, self._begin)
+        self._listener = Listener(address, self._accept)
         self._nursery: trio.Nursery | None = None
         self._leaving = False
-        self._empty = trio.Event()
+        self._drained = trio.Event()
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
     def is_leaving(self) -> bool:
-        """Whether each connection ends after its next answer."""
+        """Whether connections are closed after their next answer."""
         return self._leaving
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -345,9 +350,9 @@
             task_status.started()
             await self._listener.run()
 
-    def _begin(self, stream: trio.SocketStream) -> None:
-        """Serve a connection; it counts from here on, whenever its task comes to run."""
-        if len(self._connections) >= self._most:
+    def _accept(self, stream: trio.SocketStream) -> None:
+        """Start the task of a connection, which counts as open even before the task runs."""
+        if len(self._connections) >= self._max_connections:
             stream.socket.close()
             return
         connection = CallerConnection(stream, self._limits)
@@ -357,24 +362,24 @@
         self._nursery.start_soon(self._handle, connection, scope)
 
     def leave(self) -> None:
-        """Have each connection end with its next answer; new ones are still taken."""
+        """Close each connection after its next answer; new ones are still accepted."""
         self._leaving = True
         for connection in self._connections:
             connection.close_after_answer()
 
     async def stop(self) -> None:
-        """Take no new connection, end the idle ones, and return when the last has ended.
+        """Stop accepting, close idle connections, and return once all have ended.
 
-        What the kernel has accepted before is served: its callers may have sent their requests.
+        Connections in the kernel's accept queue are still served, since they may hold requests.
         """
         self.leave()
         await self._listener.stop()
         while self._connections:
-            self._end_idle(trio.current_time())
-            with trio.move_on_after(STOP_CHECK_S):
-                await self._empty.wait()
+            self._close_idle(trio.current_time())
+            with trio.move_on_after(STOP_CHECK_INTERVAL_S):
+                await self._drained.wait()
 
-    def _end_idle(self, now: float) -> None:
+    def _close_idle(self, now: float) -> None:
         for connection, scope in self._connections.items():
             if connection.is_idle(now):
                 scope.cancel()
@@ -386,17 +391,17 @@
         except (CallerLeftError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except h11.RemoteProtocolError as error:
-            with trio.move_on_after(_LINGER_S):
+            with trio.move_on_after(_CLOSE_TIMEOUT_S):
                 await self._refuse_malformed(connection, error)
         except Exception:
-            _LOG.exception("a connection failed")
+            _LOG.exception("unexpected error on a caller's connection")
         finally:
-            # It counts until it is closed: a process that ends before would reset its last answer.
+            # It counts as open until closed, since an exit before that would reset its last answer.
             with trio.CancelScope(shield=True):
                 await connection.close()
             del self._connections[connection]
             if self._listener.is_stopping and not self._connections:
-                self._empty.set()
+                self._drained.set()
 
     async def _serve_all(self, connection: CallerConnection) -> None:
         while True:
@@ -415,4 +420,4 @@
         try:
             await connection.reply(Reply(error.error_status_hint), close=True)
         except (CallerLeftError, h11.LocalProtocolError):
-            _LOG.debug("a malformed request was not answered: %s", error)
+            _LOG.debug("could not answer a malformed request: %s", error)
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -1,4 +1,4 @@
-"""The limits that upstreams name, and this gateway's part of each."""
+"""The rate limits that upstreams name, and this gateway's share of each."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import trio
 
 from finchway.feed import World
-from finchway.gateway._askings import MOST_SHOWN
+from finchway.gateway._askings import MAX_LOGGED_CHARS
 from finchway.gateway._record import UpstreamRecord
 from finchway.observe import BeliefChanged, DecisionLog, LimitTotals
 from finchway.policy import part_of_limit
 from finchway.pushback import MOST_LIMITS, Allowances, Asked, LimitWords, NamedLimit, Part
 
 
-class LimitDesk:
-    """Keeps one gateway to its part of what upstreams take that name a limit.
+class LimitTracker:
+    """Tracks the limits that upstreams name, and enforces one gateway's share of each.
 
-    `region_of` returns the region of a life. What one gateway is told reaches the others by way of
-    the replicas: `told` goes out, and `learn` takes in what comes.
+    `region_of` returns the region of an incarnation. Gateways exchange limits through the replicas:
+    `told` returns those to send, and `learn` applies those received.
     """
 
     def __init__(
@@ -33,61 +33,61 @@
         self._world = world
         self._region_of = region_of
         self._decisions = decisions
-        self._words = LimitWords()
-        self._allowances = Allowances(self._words, random.Random(), self._part_of)
+        self._named = LimitWords()
+        self._allowances = Allowances(self._named, random.Random(), self._part_of)
         self._parts: dict[str, tuple[float, Part]] = {}
-        self._parts_of = -1
+        self._parts_version = -1
         self._totals: dict[str, LimitTotals] = {}
-        self._note_lowered: Callable[[], None] = lambda: None
+        self._on_lowered: Callable[[], None] = lambda: None
 
     @property
-    def words(self) -> LimitWords:
-        """What upstreams have named."""
-        return self._words
+    def named(self) -> LimitWords:
+        """The limits that upstreams have named."""
+        return self._named
 
     @property
     def allowances(self) -> Allowances:
-        """What this gateway may send to upstreams that have named a limit."""
+        """The requests that this gateway may send to upstreams with a limit."""
         return self._allowances
 
-    def watch_lowered(self, note: Callable[[], None]) -> None:
-        """Have it told when an upstream's answer names a limit, or a lower one."""
-        self._note_lowered = note
+    def on_lowered(self, note: Callable[[], None]) -> None:
+        """Set the callback for answers that name a new or a lower limit."""
+        self._on_lowered = note
 
-    def note(self, life: str, asked: Asked, sent_at: float, now: float) -> None:
-        """Take in what an answer to a request of `sent_at` names; nonsense changes nothing."""
-        before = self._words.rate(life)
-        if asked.unread_limit is not None:
-            self._log(life, "unreadable", f"its limit: {asked.unread_limit[:MOST_SHOWN]}")
-            if asked.limit is None:
+    def note(self, life: str, pushback: Asked, sent_at: float, now: float) -> None:
+        """Apply the limit in an answer to a request sent at `sent_at`, unless unreadable."""
+        before = self._named.rate(life)
+        if pushback.unread_limit is not None:
+            self._log(life, "unreadable", f"its limit: {pushback.unread_limit[:MAX_LOGGED_CHARS]}")
+            if pushback.limit is None:
                 return
-        if not self._words.hear(life, asked.limit, sent_at, now):
+        if not self._named.hear(life, pushback.limit, sent_at, now):
             return
-        self._log_word(life, asked.limit, "its answer")
-        if asked.limit is not None and (before is None or asked.limit < before):
-            self._note_lowered()
+        self._log_limit(life, pushback.limit, "its answer")
+        if pushback.limit is not None and (before is None or pushback.limit < before):
+            self._on_lowered()
 
-    def learn(self, words: list[NamedLimit]) -> None:
-        """Take in what upstreams have told other gateways."""
+    def learn(self, limits: list[NamedLimit]) -> None:
+        """Apply the limits that upstreams have named to other gateways."""
         now = trio.current_time()
-        for named in words:
-            if self._words.learn(named, now):
-                self._log_word(named.life, named.rate, "control")
+        for named in limits:
+            if self._named.learn(named, now):
+                self._log_limit(named.life, named.rate, "control")
 
     def told(self) -> list[NamedLimit]:
-        """Return what upstreams have told this gateway lately, for the others."""
-        return self._words.told(trio.current_time())
+        """Return the limits recently received from upstreams, for other gateways."""
+        return self._named.told(trio.current_time())
 
     def totals(self, records: Iterable[UpstreamRecord], now: float) -> dict[str, LimitTotals]:
-        """Return by service what upstreams that name a limit take, and what falls to this gateway.
+        """Return the sums of the named limits and of this gateway's shares by service.
 
-        A service that has had such an upstream stays, with zeros once there is none.
+        A service that once had such an upstream remains listed with zeros.
         """
         for totals in self._totals.values():
             totals.upstreams, totals.named, totals.part = 0, 0.0, 0.0
         for record in records:
             life = record.registration.life
-            limit, part = self._words.rate(life), self._allowances.part(life, now)
+            limit, part = self._named.rate(life), self._allowances.part(life, now)
             if limit is None or part is None:
                 continue
             totals = self._totals.setdefault(record.registration.service, LimitTotals())
@@ -97,22 +97,22 @@
         return self._totals
 
     def _part_of(self, life: str, limit: float, now: float) -> Part:
-        """Return this gateway's part of a limit, worked out once for each change of gateways."""
-        fellows = self._world.fellows
-        regions = fellows.held(now)
-        if fellows.changes != self._parts_of or len(self._parts) >= MOST_LIMITS:
-            self._parts_of = fellows.changes
+        """Return this gateway's share of a limit, cached until the set of gateways changes."""
+        peers = self._world.fellows
+        regions = peers.held(now)
+        if peers.changes != self._parts_version or len(self._parts) >= MOST_LIMITS:
+            self._parts_version = peers.changes
             self._parts = {}
-        held = self._parts.get(life)
-        if held is not None and held[0] == limit:
-            return held[1]
+        cached = self._parts.get(life)
+        if cached is not None and cached[0] == limit:
+            return cached[1]
         region = self._region_of(life)
-        near = [name for name, where in regions.items() if where == region]
-        part = part_of_limit(self._name, life, limit, near, regions)
+        in_region = [name for name, where in regions.items() if where == region]
+        part = part_of_limit(self._name, life, limit, in_region, regions)
         self._parts[life] = (limit, part)
         return part
 
-    def _log_word(self, life: str, rate: float | None, source: str) -> None:
+    def _log_limit(self, life: str, rate: float | None, source: str) -> None:
         if rate is None:
             self._log(life, "names no limit any more", source)
         else:
--- a/src/finchway/gateway/_outcome.py
+++ b/src/finchway/gateway/_outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt at an upstream ended, and with it perhaps the request."""
+"""The outcome of an attempt at an upstream."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Verdict(Enum):
-    """How a request ended, as far as this gateway can tell."""
+    """Whether a request ran at an upstream, as far as the gateway can tell."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -20,7 +20,7 @@
 
 
 class Outcome(Struct):
-    """How an attempt ended: with an answer, or certainly not run, or unknown."""
+    """The verdict on an attempt, with its answer if there is one."""
 
     verdict: Verdict
     detail: str = ""
--- a/src/finchway/gateway/_record.py
+++ b/src/finchway/gateway/_record.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one upstream: its words, its load, how requests to it went."""
+"""The state that a gateway keeps for one upstream: load, backoff, warm keys, connections."""
 
 from __future__ import annotations
 
@@ -6,27 +6,26 @@
 from finchway.policy import Pacer, Standing
 from finchway.registry import Registration
 
-# Seconds for which a report of load says more than the requests under way from here.
-REPORT_GOOD_FOR_S = 2.0
-# Seconds that an upstream is left out after a failure; each in a row doubles it, up to the longest.
-FIRST_REST_S = 0.5
-LONGEST_REST_S = 4.0
-# Seconds that an upstream is left out after it refused or broke off: about one request's work.
-SHED_REST_S = 0.1
-# Requests in a row that may run out of time before that counts as a failure.
-DARK_AFTER = 3
-# Seconds for which an upstream is taken to remember a key that it has answered: several times as
-# long as a region's callers take to ask for all their keys.
-KEY_REMEMBERED_S = 10.0
-# Keys that are noted for each upstream: several times what upstreams were seen to remember.
-MOST_KEYS_NOTED = 256
+# Seconds after which a load report is stale and only the gateway's own requests count.
+LOAD_REPORT_TTL_S = 2.0
+# Backoff after a failure; doubles with each consecutive failure up to the maximum.
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 4.0
+# Backoff after a refusal or a broken connection: about the service time of one request.
+SHED_BACKOFF_S = 0.1
+# Consecutive timeouts that count as one failure.
+TIMEOUTS_PER_FAILURE = 3
+# Seconds for which a key counts as warm at an upstream that has answered a request for it.
+WARM_KEY_TTL_S = 10.0
+# Warm keys that are tracked for each upstream.
+MAX_WARM_KEYS = 256
 
 
 class UpstreamRecord:
-    """One life of an upstream."""
+    """The state of one incarnation of an upstream."""
 
     __slots__ = (
-        "answered_keys",
+        "warm_keys",
         "cold_until",
         "failures",
         "idle",
@@ -34,91 +33,93 @@
         "in_use",
         "pacer",
         "registration",
-        "report_own",
-        "reported",
+        "in_flight_at_report",
+        "reported_load",
         "reported_at",
-        "resting_until",
-        "standing",
+        "backoff_until",
+        "outlier_state",
         "state",
-        "unanswered",
-        "under_way",
+        "timeouts",
+        "warm_in_flight",
     )
 
     def __init__(self, registration: Registration) -> None:
         self.registration = registration
         self.in_flight = 0
-        self.reported = 0.0
+        self.reported_load = 0.0
         self.reported_at = float("-inf")
-        self.report_own = 0
+        self.in_flight_at_report = 0
         self.failures = 0
         self.state = ""
-        self.unanswered = 0
-        self.resting_until = float("-inf")
+        self.timeouts = 0
+        self.backoff_until = float("-inf")
         self.cold_until = float("-inf")
         self.pacer: Pacer | None = None
         self.idle: list[UpstreamConnection] = []
         self.in_use: set[UpstreamConnection] = set()
-        self.standing = Standing()
-        self.answered_keys: dict[str, float] = {}
-        self.under_way: dict[str, float] = {}
+        self.outlier_state = Standing()
+        self.warm_keys: dict[str, float] = {}
+        self.warm_in_flight: dict[str, float] = {}
 
-    def remembers(self, key: str, now: float) -> bool:
-        """Tell whether the upstream has answered a request for a key lately."""
-        return now - self.answered_keys.get(key, float("-inf")) <= KEY_REMEMBERED_S
+    def is_warm(self, key: str, now: float) -> bool:
+        """Return whether the upstream has recently answered a request for a key."""
+        return now - self.warm_keys.get(key, float("-inf")) <= WARM_KEY_TTL_S
 
     def overdue(self, now: float, seconds: float) -> int:
-        """Count the requests for remembered keys that are under way for longer than a time."""
-        return sum(now - since > seconds for since in self.under_way.values())
-
-    def note_key(self, key: str, now: float) -> None:
-        """Note that the upstream has answered a request for a key."""
-        self.answered_keys.pop(key, None)
-        self.answered_keys[key] = now
-        if len(self.answered_keys) > MOST_KEYS_NOTED:
-            del self.answered_keys[next(iter(self.answered_keys))]
-
-    def busy(self, now: float) -> float:
-        """Estimate the requests at the upstream: the last report, and what changed here since."""
-        if now - self.reported_at > REPORT_GOOD_FOR_S:
+        """Return the number of requests for warm keys in flight for longer than `seconds`."""
+        return sum(now - since > seconds for since in self.warm_in_flight.values())
+
+    def note_warm_key(self, key: str, now: float) -> None:
+        """Record that the upstream has answered a request for a key."""
+        self.warm_keys.pop(key, None)
+        self.warm_keys[key] = now
+        if len(self.warm_keys) > MAX_WARM_KEYS:
+            del self.warm_keys[next(iter(self.warm_keys))]
+
+    def estimated_load(self, now: float) -> float:
+        """Estimate the load from the last report and this gateway's own requests since."""
+        if now - self.reported_at > LOAD_REPORT_TTL_S:
             return float(self.in_flight)
-        return max(self.reported + self.in_flight - self.report_own, float(self.in_flight))
-
-    def report(self, running: int, waiting: int, now: float) -> None:
-        """Take in what an answer says of the upstream's load; the answered request has left."""
-        self.reported = float(max(running + waiting - 1, 0))
-        self.report_own = max(self.in_flight - 1, 0)
+        return max(
+            self.reported_load + self.in_flight - self.in_flight_at_report, float(self.in_flight)
+        )
+
+    def note_load(self, running: int, waiting: int, now: float) -> None:
+        """Apply the load report in an answer, which includes the answered request itself."""
+        self.reported_load = float(max(running + waiting - 1, 0))
+        self.in_flight_at_report = max(self.in_flight - 1, 0)
         self.reported_at = now
 
-    def rest(self, now: float, seconds: float) -> None:
-        """Leave the upstream out for a while."""
-        self.resting_until = max(self.resting_until, now + seconds)
+    def back_off(self, now: float, seconds: float) -> None:
+        """Send the upstream no requests for a time."""
+        self.backoff_until = max(self.backoff_until, now + seconds)
 
-    def fail(self, now: float) -> None:
-        """Count a failure; each in a row doubles the rest."""
+    def note_failure(self, now: float) -> None:
+        """Count a failure; consecutive failures double the backoff."""
         self.failures += 1
-        self.rest(now, min(LONGEST_REST_S, FIRST_REST_S * 2 ** (self.failures - 1)))
+        self.back_off(now, min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self.failures - 1)))
 
-    def leave_unanswered(self, now: float) -> None:
-        """Count a request whose time ran out; only several in a row speak against an upstream."""
-        self.unanswered += 1
-        if self.unanswered >= DARK_AFTER:
-            self.unanswered = 0
-            self.fail(now)
+    def note_timeout(self, now: float) -> None:
+        """Count a timeout; several consecutive ones count as a failure."""
+        self.timeouts += 1
+        if self.timeouts >= TIMEOUTS_PER_FAILURE:
+            self.timeouts = 0
+            self.note_failure(now)
 
-    def succeed(self) -> None:
-        """Count an answer."""
+    def note_success(self) -> None:
+        """Reset failures, timeouts and backoff after an answer."""
         self.failures = 0
-        self.unanswered = 0
-        self.resting_until = float("-inf")
+        self.timeouts = 0
+        self.backoff_until = float("-inf")
 
-    def end(self) -> None:
-        """Break off what is under way at a life that is over, and close what is kept."""
+    def close_all(self) -> None:
+        """Close all connections, which cancels the requests in flight."""
         for connection in self.in_use:
             connection.close()
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Close the connections that nothing uses."""
+        """Close the idle connections."""
         for connection in self.idle:
             connection.close()
         self.idle = []
--- a/src/finchway/gateway/_reports.py
+++ b/src/finchway/gateway/_reports.py
@@ -1,4 +1,4 @@
-"""Brings a gateway's reports on requests to a replica, until one has committed them."""
+"""Sends a gateway's reports on requests until a replica has committed them."""
 
 from __future__ import annotations
 
@@ -13,17 +13,15 @@
 from finchway.transport import Link
 
 _LOG = logging.getLogger(__name__)
-# Reports that wait at most: of the oldest, an upstream's end is known to other gateways as well.
-MOST_WAITING = 256
-# Seconds for one replica to have reports committed, several round trips between regions; then the
-# next one is asked. A report that was committed twice counts once.
-COMMITTED_WITHIN_S = 1.0
-# Seconds between two tries while no replica takes them.
-RETRY_S = 0.1
+# Longest queue; beyond it the oldest reports are dropped.
+MAX_WAITING = 256
+# Seconds for one replica to commit reports before the next one is tried. Reports are idempotent.
+COMMIT_TIMEOUT_S = 1.0
+RETRY_INTERVAL_S = 0.1
 
 
 class ReportSender:
-    """Sends what comes up, in order; what comes up meanwhile goes out together."""
+    """Sends queued reports in order, in batches."""
 
     def __init__(self, link: Link, replicas: Callable[[], list[str]]) -> None:
         self._link = link
@@ -35,17 +33,17 @@
 
     @property
     def waiting(self) -> int:
-        """How many reports no replica has committed yet."""
+        """Number of reports that are not committed yet."""
         return len(self._waiting)
 
     @property
     def dropped(self) -> int:
-        """How many reports were dropped since too many waited."""
+        """Number of reports dropped from the full queue."""
         return self._dropped
 
     def put(self, report: RequestReport) -> None:
-        """Queue a report; never waits."""
-        if len(self._waiting) >= MOST_WAITING:
+        """Queue a report without blocking."""
+        if len(self._waiting) >= MAX_WAITING:
             self._waiting.pop(0)
             self._dropped += 1
         self._waiting.append(report)
@@ -61,7 +59,7 @@
             if await self._send(sent):
                 self._waiting = [report for report in self._waiting if report not in sent]
             else:
-                await trio.sleep(RETRY_S)
+                await trio.sleep(RETRY_INTERVAL_S)
 
     async def _send(self, reports: list[RequestReport]) -> bool:
         replicas = self._replicas()
@@ -72,11 +70,11 @@
             await self._link.request(
                 address,
                 ReportedRequests(reports=reports),
-                timeout=COMMITTED_WITHIN_S,
-                send_within=COMMITTED_WITHIN_S,
+                timeout=COMMIT_TIMEOUT_S,
+                send_within=COMMIT_TIMEOUT_S,
             )
             return True
         except FinchwayError as error:
-            _LOG.info("replica %s did not commit reports on requests: %s", address, error)
+            _LOG.info("replica %s did not commit request reports: %s", address, error)
             self._next += 1
             return False
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -1,4 +1,4 @@
-"""What a gateway logs and counts of callers' requests and of the attempts for them."""
+"""Logs and counts callers' requests and the attempts for them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RequestLog:
-    """The lines and figures on requests; each line has what was believed when it was written."""
+    """The log lines and metrics of requests; each line includes the state it is based on."""
 
     def __init__(
         self, world: World, decisions: DecisionLog, metrics: GatewayMetrics, lag: LoopLag
@@ -36,7 +36,7 @@
     def note_refused(
         self, request: CallerRequest, request_id: str, status: int, reason: str
     ) -> None:
-        """Log a request that was answered before it was known what to do with it."""
+        """Log a request that was refused before a route was selected."""
         now = trio.current_time()
         self._decisions.write(
             RequestEnded(
@@ -54,7 +54,7 @@
         )
 
     def note_ended(self, task: Task, status: int, reason: str) -> None:
-        """Log and count the end of a request; status 0 if its caller got no answer."""
+        """Log and count the end of a request; the status is 0 if no answer was sent."""
         now = trio.current_time()
         request = task.request
         self._metrics.count_request(
@@ -80,7 +80,7 @@
         )
 
     def note_attempt(self, task: Task, choice: Choice, outcome: Outcome, started: float) -> None:
-        """Log and count an attempt, with what decided for its upstream."""
+        """Log and count an attempt, with the reasons for its upstream."""
         registration = choice.record.registration
         self._metrics.count_attempt(task.service, outcome.verdict.value)
         self._decisions.write(
@@ -115,25 +115,25 @@
             )
         )
 
-    def note_asked(self, task: Task) -> None:
-        """Count what an answer asks of this gateway."""
-        asked = task.asked
-        if asked.rest_s > 0:
+    def count_pushback(self, task: Task) -> None:
+        """Count the pushback of an answer by kind."""
+        pushback = task.asked
+        if pushback.rest_s > 0:
             self._metrics.count_asked(task.service, "rest")
-        if asked.leaving:
+        if pushback.leaving:
             self._metrics.count_asked(task.service, "leaving")
-        if asked.limit is not None:
+        if pushback.limit is not None:
             self._metrics.count_asked(task.service, "limit")
-        if asked.unread or asked.unread_limit is not None:
+        if pushback.unread or pushback.unread_limit is not None:
             self._metrics.count_asked(task.service, "unreadable")
 
     def note_quarantined(self, task: Task) -> None:
-        """Log and count a request that is refused since upstreams end under it."""
+        """Log and count a request that is refused because it is quarantined."""
         self._metrics.count_quarantined(task.service)
         self.note_ended(task, 503, "quarantined: upstreams end under it")
 
-    def note_ended_under(self, task: Task, record: UpstreamRecord, ended: int) -> None:
-        """Log and count that an upstream has ended while it had a request."""
+    def note_crash(self, task: Task, record: UpstreamRecord, crashes: int) -> None:
+        """Log and count that an upstream has crashed while it handled a request."""
         request = task.request
         self._metrics.count_upstream_ended(task.service)
         self._decisions.write(
@@ -144,23 +144,23 @@
                 target=f"{request.method} {request.host}{request.path}",
                 upstream=record.registration.life,
                 address=record.registration.address,
-                ended=ended,
+                ended=crashes,
                 under_way=record.in_flight,
             )
         )
 
-    def note_unexamined(self, task: Task, record: UpstreamRecord) -> None:
-        """Log that too many connections broke at once to look at this one's upstream."""
+    def note_unprobed(self, task: Task, record: UpstreamRecord) -> None:
+        """Log that an upstream is not probed since the queue of probes is full."""
         self._decisions.write(
             BeliefChanged(
                 subject=f"upstream/{record.registration.instance}",
-                now="a connection broke, and it is not looked at whether it ended",
+                now="connection failed; not probed, too many probes are queued",
                 source=f"request/{task.fingerprint}",
             )
         )
 
-    def note_denied(self, task: Task, reason: str, outcome: Outcome) -> None:
-        """Log and count that no further attempt is made."""
+    def note_retry_denied(self, task: Task, reason: str, outcome: Outcome) -> None:
+        """Log and count that a request is not retried."""
         self._metrics.count_denied(task.service, reason)
         self._decisions.write(
             RepeatDenied(
@@ -170,5 +170,5 @@
 
 
 def _ms(seconds: float) -> float:
-    """Return milliseconds; -1 for something that never was."""
+    """Return milliseconds; -1 for infinity."""
     return round(seconds * 1000, 1) if seconds != float("inf") else -1.0
--- a/src/finchway/gateway/_reservation.py
+++ b/src/finchway/gateway/_reservation.py
@@ -1,4 +1,4 @@
-"""What an attempt has taken of what its upstream bears, until it is sent or given up."""
+"""The capacity of an upstream that an attempt has reserved."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Reservation(Struct, eq=False):
-    """One attempt's claim on an upstream.
+    """One attempt's reservation at an upstream.
 
-    `is_trial` tells that it is the first one after a rest, `is_counted` that it was counted against
-    the limit that the upstream names, and `is_sent` that it has gone out.
+    `is_trial` marks the trial request after a backoff, `is_counted` a request that counts against
+    the upstream's named limit, and `is_sent` one that was sent.
     """
 
     record: UpstreamRecord
@@ -22,5 +22,5 @@
 
     @property
     def life(self) -> str:
-        """The life of the upstream that it is for."""
+        """The incarnation of the upstream."""
         return self.record.registration.life
--- a/src/finchway/gateway/_role.py
+++ b/src/finchway/gateway/_role.py
@@ -1,4 +1,4 @@
-"""The gateway role of one process: wiring, readiness and the planned stop."""
+"""The gateway role of a process: its parts, readiness and planned stop."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._feed_log import FeedLog
 from finchway.gateway._forward import Forwarder
+from finchway.gateway._header_names import HeaderNames
 from finchway.gateway._http import HttpServer
-from finchway.gateway._names import HeaderNames
 from finchway.gateway._reports import ReportSender
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._router import Router
@@ -23,12 +23,12 @@
 from finchway.observe import DecisionLog, GatewayMetrics, GatewayState, LoopLag
 from finchway.transport import Link
 
-CACHED_ANSWERS = 3.0
-FINISH_MARGIN_S = 0.4
+DIRECTORY_TTLS_SERVED = 3.0
+STOP_MARGIN_S = 0.4
 
 
 class GatewaySettings(Struct, frozen=True, kw_only=True):
-    """Who a gateway is and where it listens."""
+    """The identity and addresses of a gateway."""
 
     name: str
     address: str
@@ -38,7 +38,7 @@
 
 
 class GatewayRole:
-    """Serves callers, and leaves without cutting off a request."""
+    """Runs a gateway, and stops it without cutting off requests."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self._table = UpstreamTable(settings.name, zones, self._world, bounds, decisions)
         router = Router(settings.zone, zones, self._world, self._table, bounds)
         log = RequestLog(self._world, decisions, self._metrics, self._lag)
-        self._reports = ReportSender(link, lambda: self._session.answering)
+        self._reports = ReportSender(link, lambda: self._session.reachable_replicas)
         self._suspects = SuspectDesk(self._world, self._table, log, self._reports.put)
         self._forwarder = Forwarder(
             self._world,
@@ -69,7 +69,7 @@
             self._suspects,
             bounds.apply_within,
         )
-        beat = GatewayBeat(
+        heartbeat = GatewayBeat(
             name=settings.name,
             incarnation=uuid.uuid4().hex[:12],
             address=settings.address,
@@ -78,17 +78,17 @@
             peer=settings.peer,
         )
         self._session = GatewaySession(
-            beat,
+            heartbeat,
             link,
             self._world,
             seeds,
             router.rates,
             FeedLog(decisions, self._metrics, self._lag),
-            self._suspects.learn,
+            self._suspects.update,
             self._table.limits.told,
             self._table.limits.learn,
         )
-        self._table.limits.watch_lowered(self._session.tell_soon)
+        self._table.limits.on_lowered(self._session.repoll)
         self._server = HttpServer(
             settings.address,
             self._forwarder.serve,
@@ -97,16 +97,16 @@
 
     @property
     def world(self) -> World:
-        """What the gateway believes."""
+        """The state that the gateway has received from replicas."""
         return self._world
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the gateway accepts callers' requests."""
         return self._world.is_ready and not self._session.is_leaving
 
     def render_metrics(self) -> bytes:
-        """Return the gateway's figures in the Prometheus text form."""
+        """Return the gateway's metrics in the Prometheus text format."""
         now = trio.current_time()
         state = GatewayState(
             revision=self._world.steering.revision,
@@ -127,9 +127,9 @@
         )
         return self._metrics.render(state)
 
-    async def relay(self, question: Subscribe) -> Feed:
-        """Pass on the question of a fellow that reaches no replica; raises `UnavailableError`."""
-        return await self._session.relay(question)
+    async def relay(self, request: Subscribe) -> Feed:
+        """Relay the poll of a peer that reaches no replica; raises `UnavailableError`."""
+        return await self._session.relay(request)
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Run until cancelled."""
@@ -142,13 +142,13 @@
             task_status.started()
 
     async def leave(self) -> None:
-        """Withdraw, serve callers with cached answers, then finish what is in flight."""
+        """Withdraw, serve callers with cached directory answers, then drain requests in flight."""
         started = trio.current_time()
         self._session.leave()
         self._server.leave()
         grace = self._bounds.grace
-        serve_for = min(CACHED_ANSWERS * self._bounds.directory_ttl + 0.3, grace / 2)
+        serve_for = min(DIRECTORY_TTLS_SERVED * self._bounds.directory_ttl + 0.3, grace / 2)
         await trio.sleep(serve_for)
-        with trio.move_on_at(started + grace - FINISH_MARGIN_S):
+        with trio.move_on_at(started + grace - STOP_MARGIN_S):
             await self._server.stop()
         self._table.close()
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -1,4 +1,4 @@
-"""One service as a gateway sees it: demand, capacity, and where its keys and requests belong."""
+"""Plans how a service's requests and keys are spread over regions and upstreams."""
 
 from __future__ import annotations
 
@@ -25,20 +25,19 @@
     share_of_flow,
 )
 
-# Part of a region's slots that a plan fills: the rest takes what comes unevenly.
-USE_OF_SLOTS = 0.7
-# Seconds between two plans.
-PLAN_EVERY_S = 0.1
-# Part of the cap on shifts that the plans of all gateways together may use up.
-SHIFT_SAFETY = 0.5
-# Seconds without growth after which the reported demand is taken as the demand.
-DEMAND_SETTLED_S = 1.5
-# Change of the kept part, planned or in use, after which the plan is logged again.
-LOGGED_CHANGE = 0.05
+# Fraction of a region's slots that a plan fills; the rest absorbs uneven arrivals.
+TARGET_UTILISATION = 0.7
+PLAN_INTERVAL_S = 0.1
+# Fraction of the bound on shifts between regions that plans use.
+SHIFT_RATE_FACTOR = 0.5
+# Seconds without growth after which the reported demand counts as complete.
+DEMAND_STABLE_S = 1.5
+# Change of the planned or current local share from which the plan is logged again.
+LOG_THRESHOLD = 0.05
 
 
 class ServicePlan:
-    """The plan for one service, worked out now and then from the same reports at all gateways."""
+    """The plan for one service, computed by each gateway from the same reports."""
 
     def __init__(
         self,
@@ -57,47 +56,47 @@
         self._table = table
         self._estimate = ServiceEstimate(target_latency)
         self._meter = RateMeter()
-        speed = SHIFT_SAFETY * bounds.shift_per_window / bounds.shift_window
+        speed = SHIFT_RATE_FACTOR * bounds.shift_per_window / bounds.shift_window
         self._spread = Spread(home, speed)
-        self._settled = Settled(DEMAND_SETTLED_S)
-        self._keep_limit = KeepLimit()
-        self._most_kept = 1.0
+        self._settled = Settled(DEMAND_STABLE_S)
+        self._local_share_limit = KeepLimit()
+        self._max_local_share = 1.0
         self._key_map = KeyMap(home)
         self._orders = UpstreamOrders()
-        self._poor: frozenset[str] = frozenset()
-        self._poor_at = float("-inf")
-        self._logged = (-1.0, -1.0)
+        self._outliers: frozenset[str] = frozenset()
+        self._outliers_at = float("-inf")
+        self._logged_shares = (-1.0, -1.0)
         self._shares: dict[str, float] = {}
         self._shares_at = float("-inf")
 
     @property
     def estimate(self) -> ServiceEstimate:
-        """What the answers tell of the service's work."""
+        """The estimates from the service's answers."""
         return self._estimate
 
     @property
-    def kept_part(self) -> float:
-        """The part of the requests that the home region keeps at the moment."""
+    def local_share(self) -> float:
+        """The share of requests that the home region handles itself at the moment."""
         return self._spread.parts.get(self._home, 0.0)
 
     def count(self, task: Task) -> None:
-        """Count a request that callers ask of the service."""
+        """Count a caller's request and its key."""
         self._meter.add()
         if task.has_key:
             self._key_map.note(task.key)
 
-    def note_repeat(self, region: str, seconds: float) -> None:
-        """Take in the time of an answer for a key that the upstream has answered a moment ago."""
-        has_forgotten = seconds > self._estimate.forgotten_after
-        self._keep_limit.note(region == self._home, has_forgotten)
+    def note_warm_answer(self, region: str, seconds: float) -> None:
+        """Record the time of an answer for a key that should be warm at the upstream."""
+        was_cold = seconds > self._estimate.cold_key_after
+        self._local_share_limit.note(region == self._home, was_cold)
 
     def rate(self, now: float) -> float:
-        """Return the requests a second that callers ask here."""
+        """Return the rate of callers' requests at this gateway, in requests per second."""
         return self._meter.rate(now)
 
     def regions_for(self, task: Task, usable: list[str], now: float) -> list[str]:
-        """Return the usable regions: the one whose turn it is, the home region, the others."""
-        self._follow(now)
+        """Return the usable regions in order: the planned one, the home region, the others."""
+        self._update_spread(now)
         if len(usable) == 1:
             return usable
         if task.has_key:
@@ -108,36 +107,36 @@
         return [name for name in dict.fromkeys((first, self._home, *others)) if name in usable]
 
     def upstreams_for(self, task: Task, region: str, names: tuple[str, ...]) -> list[str]:
-        """Return a region's upstreams in the order they are asked: the key's home comes first."""
+        """Return a region's upstreams in order of preference, with the key's home first."""
         order = self._orders.order(task.key, names)
         home = self._key_map.home_of(task.key, region)
         if home is None or home == order[0] or home not in names:
             return order
         return [home, *(name for name in order if name != home)]
 
-    def poor(self, now: float) -> frozenset[str]:
-        """Return the upstreams that are left out since they answer worse than their fellows."""
-        if now - self._poor_at < PLAN_EVERY_S:
-            return self._poor
-        self._poor_at = now
+    def outliers(self, now: float) -> frozenset[str]:
+        """Return the upstreams that answer worse than their peers and are left out."""
+        if now - self._outliers_at < PLAN_INTERVAL_S:
+            return self._outliers
+        self._outliers_at = now
         regions = self._table.regions(self._service, now)
         for found in regions.values():
             for record in found.records.values():
-                record.standing.note_overdue(record.overdue(now, self._estimate.slow_after))
+                record.outlier_state.note_overdue(record.overdue(now, self._estimate.slow_after))
         standings = {
-            region: {name: record.standing for name, record in found.records.items()}
+            region: {name: record.outlier_state for name, record in found.records.items()}
             for region, found in regions.items()
         }
-        poor = find_poor(standings, self._poor)
+        outliers = find_poor(standings, self._outliers)
         for found in regions.values():
-            for name in (poor ^ self._poor) & found.records.keys():
-                self._table.note_standing(found.records[name], name in poor)
-        self._poor = poor
-        return poor
-
-    def share_of(self, region: str, now: float) -> float:
-        """Return this gateway's part of all that a region's upstreams get."""
-        if now - self._shares_at >= PLAN_EVERY_S:
+            for name in (outliers ^ self._outliers) & found.records.keys():
+                self._table.note_outlier(found.records[name], name in outliers)
+        self._outliers = outliers
+        return outliers
+
+    def own_share(self, region: str, now: float) -> float:
+        """Return this gateway's share of all requests to a region's upstreams."""
+        if now - self._shares_at >= PLAN_INTERVAL_S:
             self._shares = {}
             self._shares_at = now
         share = self._shares.get(region)
@@ -151,10 +150,10 @@
             )
         return share
 
-    def _follow(self, now: float) -> None:
-        """Move the parts of the regions towards the plan, and the keys' places with them."""
+    def _update_spread(self, now: float) -> None:
+        """Move the regions' shares and the keys' regions towards the plan."""
         regions = self._table.regions(self._service, now)
-        if now - self._spread.followed_at >= PLAN_EVERY_S:
+        if now - self._spread.followed_at >= PLAN_INTERVAL_S:
             capacity = {name: float(found.slots) for name, found in regions.items()}
             self._spread.note_capacity(capacity, now)
             self._spread.follow(self._plan(now), now)
@@ -162,7 +161,7 @@
         self._key_map.follow(self._spread.parts, names, now)
 
     def _plan(self, now: float) -> dict[str, float]:
-        self._most_kept = self._keep_limit.most_kept(now)
+        self._max_local_share = self._local_share_limit.most_kept(now)
         loads = self._loads(now)
         if not self._settled.note(sum(load.demand for load in loads.values()), now):
             loads = assume_even_demand(loads, set(self._zones().values()))
@@ -171,12 +170,12 @@
         return plan
 
     def _log(self, loads: dict[str, RegionLoad], plan: dict[str, float]) -> None:
-        """Log the plan when it, or the part that is kept, is another than when it was logged."""
+        """Log the plan if the planned or the current local share has changed enough."""
         planned = plan.get(self._home, 0.0)
-        before = self._logged
-        if max(abs(planned - before[0]), abs(self.kept_part - before[1])) < LOGGED_CHANGE:
+        before = self._logged_shares
+        if max(abs(planned - before[0]), abs(self.local_share - before[1])) < LOG_THRESHOLD:
             return
-        self._logged = (planned, self.kept_part)
+        self._logged_shares = (planned, self.local_share)
         self._table.decisions.write(
             PlanChanged(
                 service=self._service,
@@ -188,25 +187,24 @@
                     )
                     for region, load in sorted(loads.items())
                 },
-                work_ms=round(1000 * self._estimate.work, 1),
-                most_kept=round(self._most_kept, 3),
-                kept=round(self.kept_part, 3),
-                poor=len(self._poor),
+                work_ms=round(1000 * self._estimate.service_time, 1),
+                most_kept=round(self._max_local_share, 3),
+                kept=round(self.local_share, 3),
+                poor=len(self._outliers),
             )
         )
 
     def _loads(self, now: float) -> dict[str, RegionLoad]:
         demand = {
-            asked.region: asked.rate
-            for asked in self._world.demand
-            if asked.service == self._service
+            reported.region: reported.rate
+            for reported in self._world.demand
+            if reported.service == self._service
         }
-        # Demand that stayed with upstreams that rest, or beyond the limits that upstreams name,
-        # would be refused.
-        left_out = self.poor(now) | self._table.resting(now)
-        a_slot = USE_OF_SLOTS / self._estimate.work
+        # Upstreams in backoff, or beyond their named limits, would refuse the requests.
+        excluded = self.outliers(now) | self._table.resting(now)
+        rate_per_slot = TARGET_UTILISATION / self._estimate.service_time
         capacity = {
-            region: found.capacity(a_slot, left_out, self._table.limits.words)
+            region: found.capacity(rate_per_slot, excluded, self._table.limits.named)
             for region, found in self._table.regions(self._service, now).items()
         }
         loads = {
@@ -214,7 +212,7 @@
             for region in {*demand, *capacity}
         }
         home = loads.get(self._home)
-        if home is not None and self._most_kept < 1.0:
-            remembered = self._most_kept * home.demand
-            loads[self._home] = RegionLoad(home.demand, min(home.capacity, remembered))
+        if home is not None and self._max_local_share < 1.0:
+            retained = self._max_local_share * home.demand
+            loads[self._home] = RegionLoad(home.demand, min(home.capacity, retained))
         return loads
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -1,7 +1,7 @@
-"""The gateway's open questions to the replicas: its beats go out, the feed comes in.
+"""Long polls of the replicas, which carry the gateway's heartbeats and return the feed.
 
-A gateway that no replica answers asks by way of a fellow gateway, so that one that is only cut off
-from control is still named to callers and still learns what changes.
+A gateway that no replica answers polls through a peer, so that one that is only cut off from
+control remains in the directory and still receives changes.
 """
 
 from __future__ import annotations
@@ -14,54 +14,54 @@
 from finchway.exceptions import FinchwayError, UnavailableError
 from finchway.feed import Feed, GatewayBeat, ServiceRate, Subscribe, World
 from finchway.gateway._feed_log import FeedLog
-from finchway.gateway._question import HeardReplica, Turn
+from finchway.gateway._poll import Poll, ReplicaCursor
 from finchway.gateway._transit import TransitMeter
 from finchway.pushback import NamedLimit
 from finchway.state import Suspect
 from finchway.transport import Link
 
 _LOG = logging.getLogger(__name__)
-# Seconds after which a question is asked anew, and the replica counts as lost meanwhile.
-ANSWER_WITHIN_S = 1.0
-# Seconds from the question for which an answer is still taken: on a full link of a gateway it is
-# 1 to 2 s on the way, and one that has come all the way is as good as the next.
-LATE_WITHIN_S = 4.0
-# Seconds between an answer and the next question, so that a burst of commits makes one answer.
-PAUSE_S = 0.02
-# Seconds before a replica that could not be asked is asked again.
-RETRY_S = 0.1
-# Replicas that are asked at once: as many as a deployment sets aside at most.
-MOST_REPLICAS = 9
-# Seconds without an answer of any replica after which fellows are asked to pass questions on, and
-# what such a question may take: two ways, and what a replica holds it for.
+# Seconds after which a replica that has not answered counts as lost and is polled again.
+POLL_TIMEOUT_S = 1.0
+# Seconds for which the answer to an earlier poll is still accepted; on a congested link, answers
+# take longer than POLL_TIMEOUT_S.
+LATE_ANSWER_TIMEOUT_S = 4.0
+# Seconds between an answer and the next poll, so that a burst of commits arrives in one answer.
+POLL_PAUSE_S = 0.02
+# Seconds before a failed poll is repeated.
+RETRY_INTERVAL_S = 0.1
+# Replicas that are polled at the same time.
+MAX_REPLICAS = 9
+# Seconds without an answer of any replica after which polls go through peers, and the timeout of
+# such polls: two round trips, and the time for which a replica holds a poll.
 RELAY_AFTER_S = 1.0
-RELAYED_WITHIN_S = 1.5
-# Seconds between two times that all replicas are asked anew for what they must hear at once.
-TELL_EVERY_S = 0.5
-# Seconds between two questions for the regions' demand, which is the larger part of an answer.
+RELAY_TIMEOUT_S = 1.5
+# Shortest interval between polls that are renewed to report something at once.
+REPOLL_INTERVAL_S = 0.5
+# Interval of polls that request the regions' demand, which is the larger part of an answer.
 DEMAND_EVERY_S = 0.5
 
 
 class GatewaySession:
-    """Keeps one question open at each replica that is known."""
+    """Keeps one long poll open at each known replica."""
 
     def __init__(
         self,
-        beat: GatewayBeat,
+        heartbeat: GatewayBeat,
         link: Link,
         world: World,
         seeds: Callable[[], list[str]],
         rates: Callable[[], list[ServiceRate]],
         log: FeedLog,
-        learn_suspects: Callable[[list[Suspect]], None] = lambda suspects: None,
+        apply_suspects: Callable[[list[Suspect]], None] = lambda suspects: None,
         limits: Callable[[], list[NamedLimit]] = list,
-        learn_limits: Callable[[list[NamedLimit]], None] = lambda words: None,
+        apply_limits: Callable[[list[NamedLimit]], None] = lambda words: None,
     ) -> None:
         self._log = log
-        self._learn_suspects = learn_suspects
+        self._apply_suspects = apply_suspects
         self._limits = limits
-        self._learn_limits = learn_limits
-        self._beat = beat
+        self._apply_limits = apply_limits
+        self._heartbeat = heartbeat
         self._link = link
         self._world = world
         self._seeds = seeds
@@ -69,200 +69,201 @@
         self._transits = TransitMeter()
         self._sequence = 0
         self._leaving = False
-        self._asking: set[str] = set()
-        self._answered: set[str] = set()
-        self._turns: dict[str, Turn] = {}
-        self._answered_at = trio.current_time()
-        self._fellow = 0
-        self._demand_asked_at = float("-inf")
-        self._told_at = float("-inf")
+        self._polled: set[str] = set()
+        self._reachable: set[str] = set()
+        self._polls: dict[str, Poll] = {}
+        self._last_answer_at = trio.current_time()
+        self._next_peer = 0
+        self._demand_requested_at = float("-inf")
+        self._repolled_at = float("-inf")
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the gateway has said that it must not be named any more."""
+        """Whether the gateway has withdrawn from the directory."""
         return self._leaving
 
     @property
-    def answering(self) -> list[str]:
-        """The replicas that answer; all that are known if none does."""
+    def reachable_replicas(self) -> list[str]:
+        """The replicas that answer, or all known ones if none does."""
         known = self._addresses()
-        return sorted(self._answered & set(known)) or known
+        return sorted(self._reachable & set(known)) or known
 
     async def run(self) -> None:
-        """Ask each known replica until cancelled; replicas come and go."""
+        """Poll all known replicas until cancelled, as the set of replicas changes."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._ask_by_fellows)
+            nursery.start_soon(self._poll_through_peers)
             while True:
                 for address in self._addresses():
-                    if address not in self._asking:
-                        self._asking.add(address)
-                        nursery.start_soon(self._ask_forever, address)
-                await trio.sleep(RETRY_S)
+                    if address not in self._polled:
+                        self._polled.add(address)
+                        nursery.start_soon(self._poll_replica, address)
+                await trio.sleep(RETRY_INTERVAL_S)
 
     def leave(self) -> None:
-        """Say from now on that the gateway must not be named; open questions are asked anew."""
+        """Withdraw from the directory; open polls are renewed to report it."""
         self._leaving = True
-        for turn in self._turns.values():
-            turn.end(is_sound=True)
+        for poll in self._polls.values():
+            poll.end(succeeded=True)
 
-    def tell_soon(self) -> None:
-        """Ask all replicas anew at once, so that they hear what is new here; now and then at most.
+    def repoll(self) -> None:
+        """Renew all polls now to report new limits, at most once per REPOLL_INTERVAL_S.
 
-        What is left out for that goes with the next questions.
+        Within the interval, the next regular polls report them.
         """
         now = trio.current_time()
-        if now - self._told_at < TELL_EVERY_S:
+        if now - self._repolled_at < REPOLL_INTERVAL_S:
             return
-        self._told_at = now
-        for turn in self._turns.values():
-            turn.end(is_sound=True)
+        self._repolled_at = now
+        for poll in self._polls.values():
+            poll.end(succeeded=True)
 
     def _addresses(self) -> list[str]:
-        known = sorted(self._world.replicas.values())[:MOST_REPLICAS]
-        if self._answered & set(known):
+        known = sorted(self._world.replicas.values())[:MAX_REPLICAS]
+        if self._reachable & set(known):
             return known
         return sorted({*known, *self._seeds()})
 
-    async def _ask_forever(self, address: str) -> None:
-        """Keep asking one replica; a question that is not answered soon is joined by the next."""
-        replica = HeardReplica()
+    async def _poll_replica(self, address: str) -> None:
+        """Poll one replica; a poll that is not answered in time stays open beside the next."""
+        cursor = ReplicaCursor()
         try:
             async with trio.open_nursery() as nursery:
                 while address in self._addresses():
-                    turn = self._turns[address] = Turn()
-                    nursery.start_soon(self._ask_and_learn, address, replica, turn)
-                    with trio.move_on_after(ANSWER_WITHIN_S):
-                        await turn.wait()
-                    if not turn.is_sound:
-                        self._note_lost(address)
-                    await trio.sleep(PAUSE_S if turn.is_sound else RETRY_S)
+                    poll = self._polls[address] = Poll()
+                    nursery.start_soon(self._poll_once, address, cursor, poll)
+                    with trio.move_on_after(POLL_TIMEOUT_S):
+                        await poll.wait()
+                    if not poll.succeeded:
+                        self._note_unreachable(address)
+                    await trio.sleep(POLL_PAUSE_S if poll.succeeded else RETRY_INTERVAL_S)
                 nursery.cancel_scope.cancel()
         finally:
-            self._turns.pop(address, None)
-            self._asking.discard(address)
-            self._answered.discard(address)
+            self._polls.pop(address, None)
+            self._polled.discard(address)
+            self._reachable.discard(address)
 
-    async def _ask_and_learn(self, address: str, replica: HeardReplica, turn: Turn) -> None:
-        """Ask once, and take in the answer whenever it comes.
+    async def _poll_once(self, address: str, cursor: ReplicaCursor, poll: Poll) -> None:
+        """Poll once, and apply the answer even if it is late.
 
-        To throw late answers away would leave a gateway on a full link without any: each question
-        anew meets the same link.
+        On a congested link all answers are late, so a gateway that dropped them would get none.
         """
-        asked_at = trio.current_time()
-        answer = await self._ask(address, replica, LATE_WITHIN_S)
+        sent_at = trio.current_time()
+        answer = await self._request_feed(address, cursor, LATE_ANSWER_TIMEOUT_S)
         if answer is not None:
-            self._note_heard(address)
-            replica.note(answer)
-            self._learn(answer, asked_at)
-        turn.end(is_sound=answer is not None)
+            self._note_reachable(address)
+            cursor.note(answer)
+            self._apply(answer, sent_at)
+        poll.end(succeeded=answer is not None)
 
-    async def relay(self, question: Subscribe) -> Feed:
-        """Pass on a fellow's question to a replica that answers here.
+    async def relay(self, request: Subscribe) -> Feed:
+        """Relay a peer's poll to a replica that this gateway reaches.
 
-        Raises `UnavailableError` if none does, and the link's errors.
+        Raises `UnavailableError` if there is none, and the link's errors.
         """
-        answering = sorted(self._answered & set(self._addresses()))
-        if not answering:
-            raise UnavailableError("no replica answers here either")
+        reachable = sorted(self._reachable & set(self._addresses()))
+        if not reachable:
+            raise UnavailableError("no replica is reachable from this gateway either")
         return await self._link.request(
-            answering[0], question, timeout=RELAYED_WITHIN_S, send_within=ANSWER_WITHIN_S
+            reachable[0], request, timeout=RELAY_TIMEOUT_S, send_within=POLL_TIMEOUT_S
         )
 
-    async def _ask_by_fellows(self) -> None:
-        """Ask by way of fellows, one after the other, while no replica answers."""
-        replica = HeardReplica()
+    async def _poll_through_peers(self) -> None:
+        """Poll through one peer after the other while no replica answers."""
+        cursor = ReplicaCursor()
         while True:
-            silent_for = trio.current_time() - self._answered_at
-            fellows = [
-                a for n, a in sorted(self._world.peers.items()) if n != self._beat.name and a
+            silent_for = trio.current_time() - self._last_answer_at
+            peers = [
+                a for n, a in sorted(self._world.peers.items()) if n != self._heartbeat.name and a
             ]
-            if silent_for < RELAY_AFTER_S or not fellows:
-                await trio.sleep(RETRY_S)
+            if silent_for < RELAY_AFTER_S or not peers:
+                await trio.sleep(RETRY_INTERVAL_S)
                 continue
-            address = fellows[self._fellow % len(fellows)]
-            asked_at = trio.current_time()
-            answer = await self._ask(address, replica, RELAYED_WITHIN_S)
+            address = peers[self._next_peer % len(peers)]
+            sent_at = trio.current_time()
+            answer = await self._request_feed(address, cursor, RELAY_TIMEOUT_S)
             if answer is None:
-                self._fellow += 1
-                await trio.sleep(RETRY_S)
+                self._next_peer += 1
+                await trio.sleep(RETRY_INTERVAL_S)
                 continue
-            replica.note(answer)
-            self._learn(answer, asked_at)
-            await trio.sleep(PAUSE_S)
+            cursor.note(answer)
+            self._apply(answer, sent_at)
+            await trio.sleep(POLL_PAUSE_S)
 
-    def _note_lost(self, address: str) -> None:
-        if address in self._answered:
-            self._answered.discard(address)
+    def _note_unreachable(self, address: str) -> None:
+        if address in self._reachable:
+            self._reachable.discard(address)
             self._log.note_lost(address)
 
-    def _note_heard(self, address: str) -> None:
-        self._answered_at = trio.current_time()
-        if address not in self._answered:
-            self._answered.add(address)
+    def _note_reachable(self, address: str) -> None:
+        self._last_answer_at = trio.current_time()
+        if address not in self._reachable:
+            self._reachable.add(address)
             self._log.note_regained(address)
 
-    async def _ask(self, address: str, replica: HeardReplica, within: float) -> Feed | None:
-        question = Subscribe(
-            beat=self._current_beat(),
+    async def _request_feed(
+        self, address: str, cursor: ReplicaCursor, timeout: float
+    ) -> Feed | None:
+        request = Subscribe(
+            beat=self._next_heartbeat(),
             revision=self._world.steering.revision,
-            life=replica.life,
-            order=replica.order,
-            roster=self._world.roster_version(replica.life),
-            demand=self._wants_demand(),
-            rest=replica.rest,
-            limits=replica.limits,
+            life=cursor.life,
+            order=cursor.order,
+            roster=self._world.roster_version(cursor.life),
+            demand=self._is_demand_due(),
+            rest=cursor.rest,
+            limits=cursor.limits,
         )
-        asked_at = trio.current_time()
+        sent_at = trio.current_time()
         try:
             answer = await self._link.request(
-                address, question, timeout=within, send_within=ANSWER_WITHIN_S
+                address, request, timeout=timeout, send_within=POLL_TIMEOUT_S
             )
         except FinchwayError as error:
             _LOG.debug("no feed from %s: %s", address, error)
-            if question.demand:
-                self._demand_asked_at = float("-inf")
-            self._log.note_given_up(address, question, asked_at)
+            if request.demand:
+                self._demand_requested_at = float("-inf")
+            self._log.note_failed(address, request, sent_at)
             return None
         if not isinstance(answer, Feed):
             return None
-        if answer.life == question.life and not question.rest:
-            # A first answer and its rest are large: they press the link themselves, for a moment.
+        if answer.life == request.life and not request.rest:
+            # A first answer and its continuation are large and slow even on an idle link.
             now = trio.current_time()
-            self._transits.note(now - asked_at - answer.held, now)
-        self._log.note_answer(address, question, asked_at, answer, ANSWER_WITHIN_S)
+            self._transits.note(now - sent_at - answer.held, now)
+        self._log.note_answer(address, request, sent_at, answer, POLL_TIMEOUT_S)
         return answer
 
-    def _wants_demand(self) -> bool:
-        """Ask one replica after the other for the regions' demand, now and then."""
+    def _is_demand_due(self) -> bool:
+        """Return whether the next poll should request the regions' demand."""
         now = trio.current_time()
-        if now - self._demand_asked_at < DEMAND_EVERY_S:
+        if now - self._demand_requested_at < DEMAND_EVERY_S:
             return False
-        self._demand_asked_at = now
+        self._demand_requested_at = now
         return True
 
-    def _learn(self, feed: Feed, asked_at: float) -> None:
+    def _apply(self, feed: Feed, sent_at: float) -> None:
         if feed.limits is not None:
-            self._learn_limits(feed.limits.words)
+            self._apply_limits(feed.limits.words)
         before = self._world.steering.revision
-        if self._world.learn(feed, trio.current_time(), asked_at):
-            self._log.note_learned(feed, before, self._world.steering.revision)
-            self._learn_suspects(feed.image.suspects)
+        if self._world.learn(feed, trio.current_time(), sent_at):
+            self._log.note_applied(feed, before, self._world.steering.revision)
+            self._apply_suspects(feed.image.suspects)
 
-    def _current_beat(self) -> GatewayBeat:
+    def _next_heartbeat(self) -> GatewayBeat:
         self._sequence += 1
-        beat = self._beat
+        base = self._heartbeat
         return GatewayBeat(
-            name=beat.name,
-            incarnation=beat.incarnation,
-            address=beat.address,
-            zone=beat.zone,
-            region=beat.region,
-            peer=beat.peer,
+            name=base.name,
+            incarnation=base.incarnation,
+            address=base.address,
+            zone=base.zone,
+            region=base.region,
+            peer=base.peer,
             leaving=self._leaving,
             ready=self._world.is_ready,
             revision=self._world.steering.revision,
             sequence=self._sequence,
             rates=self._rates(),
-            pressed=self._transits.is_pressed(trio.current_time()),
+            pressed=self._transits.is_congested(trio.current_time()),
             limits=self._limits(),
         )
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -1,8 +1,7 @@
-"""Which requests may be sent to upstreams, by what became of the upstreams that ran them before.
+"""Detects requests that crash upstreams, and limits how often they are sent.
 
-A request may end each upstream that begins to run it, and its caller sends it again and again, at
-any gateway. So what one attempt shows outlives its request: it is kept here at once, and reported
-to the replicas, whose table holds what all gateways have seen.
+A caller may retry such a request at any gateway. The evidence therefore outlives the request: it is
+kept locally and reported to the replicas, which combine the reports of all gateways.
 """
 
 from __future__ import annotations
@@ -30,44 +29,43 @@
     SuspectState,
 )
 
-# Seconds for which an upstream that ended here speaks against a request, whatever replicas say.
-REMEMBERED_FOR_S = 60.0
-# Requests that are remembered here: the replicas' table holds those of all gateways.
-MOST_REMEMBERED = 256
-# Upstreams that wait to be looked at after a connection broke; when all upstreams end at once, some
-# of the requests that were under way at each are enough to tell.
-MOST_EXAMINED = 64
-# Seconds after which a new connection that is still open was taken by an upstream that lives, and
-# how often one is tried that closes them: of upstreams whose listeners outlived their connections
-# by 30 ms none was seen to end, and a request went through 20 of them.
-KEPT_FOR_S = 0.1
-MOST_LOOKS = 3
-# Seconds within which an upstream that ended is heard again, if nothing else showed its end.
-BACK_WITHIN_S = 10.0
-# Requests that are held for that long, with their bodies of up to 1 MiB each.
-MOST_UNCLEAR = 16
-# Seconds that callers of a quarantined request are told to stay away at least: its time may be over
-# by this instance's clock, and not yet by that of the replicas.
-COME_BACK_LEAST_S = 10.0
+# Seconds for which locally observed crashes count against a request.
+EVIDENCE_TTL_S = 60.0
+# Requests with local evidence that are kept.
+MAX_EVIDENCE = 256
+# Upstreams that wait to be probed after a connection failure. When many crash at once, a sample of
+# the requests that were in flight is enough.
+MAX_QUEUED_PROBES = 64
+# Seconds that a probe connection must stay open to show that the upstream is alive, and how many
+# are opened: the listener of a crashing process may accept connections for a moment.
+PROBE_HOLD_S = 0.1
+PROBE_CONNECTIONS = 3
+# Seconds within which a restart shows that an earlier connection failure was a crash.
+RESTART_WITHIN_S = 10.0
+# Unresolved failures that are kept; each holds a request body of up to 1 MiB.
+MAX_UNRESOLVED = 16
+# Shortest Retry-After for a quarantined request: by the replicas' clock, its quarantine may end
+# later than by this gateway's.
+MIN_RETRY_AFTER_S = 10.0
 
 
 class Clearance(Enum):
-    """How often a request may be sent: as its route says, once at most, or not at all."""
+    """How often a request may be sent: as its route allows, at most once, or not at all."""
 
     FREE = "free"
     ONCE = "once"
     REFUSED = "refused"
 
 
-class _Seen(Struct):
-    """How many upstreams ended here under a request, and when the last one did."""
+class _LocalEvidence(Struct):
+    """Number of upstreams that crashed under a request, and the time of the latest crash."""
 
     ends: int
     last_at: float
 
 
-class _Unclear(Struct):
-    """A request whose connection broke at an upstream that seemed to live on."""
+class _UnresolvedFailure(Struct):
+    """A request whose connection failed at an upstream that seemed to be alive."""
 
     task: Task
     record: UpstreamRecord
@@ -75,7 +73,7 @@
 
 
 class SuspectDesk:
-    """Judges the requests of one gateway, and finds out whether upstreams ended under them."""
+    """Decides how often requests may be sent, and detects upstreams that crashed under them."""
 
     def __init__(
         self,
@@ -88,184 +86,186 @@
         self._table = table
         self._log = log
         self._report = report
-        self._seen: dict[str, _Seen] = {}
-        self._carried: set[Task] = set()
-        self._unclear: deque[_Unclear] = deque(maxlen=MOST_UNCLEAR)
+        self._local_evidence: dict[str, _LocalEvidence] = {}
+        self._in_progress: set[Task] = set()
+        self._unresolved: deque[_UnresolvedFailure] = deque(maxlen=MAX_UNRESOLVED)
         table.watch_replaced(self._note_replaced)
-        self._examine, self._to_examine = trio.open_memory_channel[tuple[Task, UpstreamRecord]](
-            MOST_EXAMINED
-        )
+        self._probe_sender, self._probe_receiver = trio.open_memory_channel[
+            tuple[Task, UpstreamRecord]
+        ](MAX_QUEUED_PROBES)
 
     def clearance(self, task: Task, now: float) -> Clearance:
-        """Tell how often a request may be sent, counting what it has done to upstreams before."""
-        if self._knows_nothing():
+        """Return how often a request may be sent, given the crashes that it has caused before."""
+        if self._has_no_suspects():
             return Clearance.FREE
-        held = self._held(task)
-        here = self._ends_here(task, now)
-        ends = task.evidence.known = max(here, held.ends if held else 0)
-        if held is not None and held.state is SuspectState.QUARANTINED:
+        shared = self._shared_suspect(task)
+        local = self._local_crashes(task, now)
+        crashes = task.evidence.known = max(local, shared.ends if shared else 0)
+        if shared is not None and shared.state is SuspectState.QUARANTINED:
             return Clearance.REFUSED
-        if here >= QUARANTINE_AFTER and (held is None or here > held.ends):
-            # The replicas' word on the newest end is still to come.
+        if local >= QUARANTINE_AFTER and (shared is None or local > shared.ends):
+            # The replicas have not confirmed the latest crash yet.
             return Clearance.REFUSED
-        return Clearance.ONCE if ends else Clearance.FREE
+        return Clearance.ONCE if crashes else Clearance.FREE
 
-    def may_repeat(self, task: Task, now: float) -> bool:
-        """Tell whether a request may be sent to a further upstream.
+    def may_retry(self, task: Task, now: float) -> bool:
+        """Return whether a request may be sent to a further upstream.
 
-        The first upstream that ends under it may have had another reason: most requests that are
-        under way at one that ends are served by the next.
+        A crash in this request's own attempts does not prevent a retry, since most requests in
+        flight at a crashing upstream did not cause the crash.
         """
-        if self._knows_nothing():
+        if self._has_no_suspects():
             return True
-        held = self._held(task)
-        return max(self._ends_here(task, now), held.ends if held else 0) <= task.evidence.seen
+        shared = self._shared_suspect(task)
+        return (
+            max(self._local_crashes(task, now), shared.ends if shared else 0) <= task.evidence.seen
+        )
 
-    def quarantined_for(self, task: Task) -> float:
-        """Return the seconds after which a request that is refused may be tried again."""
-        held = self._held(task)
-        first = QUARANTINED_FOR_MS[0] / 1000
-        if held is None or held.state is not SuspectState.QUARANTINED:
-            return first
-        return max(COME_BACK_LEAST_S, held.until_ms / 1000 - WALL.now())
+    def retry_after(self, task: Task) -> float:
+        """Return the seconds after which a refused request may be sent again."""
+        shared = self._shared_suspect(task)
+        default = QUARANTINED_FOR_MS[0] / 1000
+        if shared is None or shared.state is not SuspectState.QUARANTINED:
+            return default
+        return max(MIN_RETRY_AFTER_S, shared.until_ms / 1000 - WALL.now())
 
     @contextmanager
-    def carrying(self, task: Task) -> Iterator[None]:
-        """Break a request off if it is quarantined while it is under way.
+    def track(self, task: Task) -> Iterator[None]:
+        """Cancel a request if it is quarantined while in flight.
 
-        What it did to upstreams is reported once it is over: one that a further upstream answers
-        has done nothing.
+        Crashes are reported when the request is over: one that a further upstream answers has not
+        caused them.
         """
-        self._carried.add(task)
+        self._in_progress.add(task)
         try:
             yield
         finally:
-            self._carried.discard(task)
+            self._in_progress.discard(task)
             task.evidence.is_over = True
-            self._report_ends(task)
+            self._report_crashes(task)
 
     def note_broken(self, task: Task, record: UpstreamRecord) -> None:
-        """Take in that a connection broke under a request, and find out whether its upstream ended.
+        """Schedule a probe of an upstream whose connection failed during a request.
 
-        It may only have lost an answer; then a new connection comes up.
+        If a new connection succeeds, the upstream has not crashed.
         """
         try:
-            self._examine.send_nowait((task, record))
+            self._probe_sender.send_nowait((task, record))
         except trio.WouldBlock:
-            self._log.note_unexamined(task, record)
+            self._log.note_unprobed(task, record)
 
     def note_answered(self, task: Task) -> None:
-        """Take in that an upstream has run a request and lives."""
+        """Record that an upstream has run a request without a crash."""
         task.evidence.is_answered = True
-        if self._knows_nothing():
+        if self._has_no_suspects():
             return
-        self._seen.pop(task.fingerprint, None)
-        if self._held(task) is not None:
+        self._local_evidence.pop(task.fingerprint, None)
+        if self._shared_suspect(task) is not None:
             self._report(RequestReport(task.fingerprint, answered=True))
 
-    def learn(self, suspects: list[Suspect]) -> None:
-        """Take in what replicas tell; quarantined requests that are under way are broken off."""
+    def update(self, suspects: list[Suspect]) -> None:
+        """Apply the replicas' list of suspects; cancels quarantined requests in flight."""
         quarantined = set()
         for suspect in suspects:
             if suspect.state is SuspectState.QUARANTINED:
                 quarantined.add(suspect.request)
             elif suspect.state is SuspectState.CLEARED:
-                self._seen.pop(suspect.request, None)
+                self._local_evidence.pop(suspect.request, None)
         if quarantined:
-            self._break_off(quarantined)
+            self._cancel_quarantined(quarantined)
 
     async def run(self) -> None:
-        """Look at the upstreams of broken connections, until cancelled."""
+        """Probe the upstreams of failed connections until cancelled."""
         async with trio.open_nursery() as nursery:
-            async for task, record in self._to_examine:
-                nursery.start_soon(self._look_at, task, record)
+            async for task, record in self._probe_receiver:
+                nursery.start_soon(self._probe, task, record)
 
-    async def _look_at(self, task: Task, record: UpstreamRecord) -> None:
-        """Note that an upstream ended, if nothing listens at its address any more.
+    async def _probe(self, task: Task, record: UpstreamRecord) -> None:
+        """Record a crash if nothing listens at the upstream's address any more.
 
-        It may be back already, or something may listen in its place: then only the heartbeats of
-        its next life tell.
+        If it has restarted already, or something else listens there, only the heartbeats of its
+        next incarnation show the crash.
         """
         now = trio.current_time()
         if self._table.was_replaced(record):
-            self._note_ended(task, record, now)
+            self._note_crash(task, record, now)
             return
         try:
-            connection = await self._connect_for_good(record)
+            connection = await self._open_lasting_connection(record)
         except AttemptError as error:
             if error.failure is Failure.REFUSED:
-                self._note_ended(task, record, now)
+                self._note_crash(task, record, now)
             return
         if connection is None:
             return
         self._table.keep(record, connection)
-        while self._unclear and now - self._unclear[0].at > BACK_WITHIN_S:
-            self._unclear.popleft()
-        self._unclear.append(_Unclear(task, record, now))
+        while self._unresolved and now - self._unresolved[0].at > RESTART_WITHIN_S:
+            self._unresolved.popleft()
+        self._unresolved.append(_UnresolvedFailure(task, record, now))
 
-    async def _connect_for_good(self, record: UpstreamRecord) -> UpstreamConnection | None:
-        """Return a connection that an upstream keeps; None if it closes each at once.
+    async def _open_lasting_connection(self, record: UpstreamRecord) -> UpstreamConnection | None:
+        """Return a connection that stays open; None if the upstream closes each at once.
 
-        The sockets of a process that ends are closed one after the other, so one that is ending may
-        still take a connection. Raises `AttemptError` if it takes none.
+        The sockets of a crashing process are closed one by one, so it may still accept connections.
+        Raises `AttemptError` if it accepts none.
         """
-        for _ in range(MOST_LOOKS):
-            connection = await self._table.connect_anew(record)
-            await trio.sleep(KEPT_FOR_S)
+        for _ in range(PROBE_CONNECTIONS):
+            connection = await self._table.open_connection(record)
+            await trio.sleep(PROBE_HOLD_S)
             if connection.is_usable(trio.current_time()):
                 return connection
             connection.close()
         return None
 
     def _note_replaced(self, record: UpstreamRecord) -> None:
-        """Note the requests under which a life has ended, now that the next one has begun."""
+        """Resolve the failures of an incarnation as crashes, since a later one has started."""
         now = trio.current_time()
-        found = [unclear for unclear in self._unclear if unclear.record is record]
-        for unclear in found:
-            self._unclear.remove(unclear)
-            if now - unclear.at <= BACK_WITHIN_S:
-                self._note_ended(unclear.task, record, now)
+        found = [failure for failure in self._unresolved if failure.record is record]
+        for failure in found:
+            self._unresolved.remove(failure)
+            if now - failure.at <= RESTART_WITHIN_S:
+                self._note_crash(failure.task, record, now)
 
-    def _note_ended(self, task: Task, record: UpstreamRecord, now: float) -> None:
+    def _note_crash(self, task: Task, record: UpstreamRecord, now: float) -> None:
         evidence = task.evidence
         if evidence.is_answered:
             return
         evidence.seen += 1
         evidence.last = record.registration.life
-        earlier = self._seen.pop(task.fingerprint, None)
-        ends = max(evidence.ends, earlier.ends if earlier else 0)
-        self._seen[task.fingerprint] = _Seen(ends, now)
-        if len(self._seen) > MOST_REMEMBERED:
-            del self._seen[next(iter(self._seen))]
-        self._log.note_ended_under(task, record, evidence.ends)
-        self._report_ends(task)
-        if evidence.ends >= QUARANTINE_AFTER:
-            self._break_off({task.fingerprint})
-
-    def _report_ends(self, task: Task) -> None:
+        earlier = self._local_evidence.pop(task.fingerprint, None)
+        crashes = max(evidence.crashes, earlier.ends if earlier else 0)
+        self._local_evidence[task.fingerprint] = _LocalEvidence(crashes, now)
+        if len(self._local_evidence) > MAX_EVIDENCE:
+            del self._local_evidence[next(iter(self._local_evidence))]
+        self._log.note_crash(task, record, evidence.crashes)
+        self._report_crashes(task)
+        if evidence.crashes >= QUARANTINE_AFTER:
+            self._cancel_quarantined({task.fingerprint})
+
+    def _report_crashes(self, task: Task) -> None:
         evidence = task.evidence
         if evidence.is_over and evidence.seen and not evidence.is_answered:
-            self._report(RequestReport(task.fingerprint, evidence.ends, evidence.last))
+            self._report(RequestReport(task.fingerprint, evidence.crashes, evidence.last))
 
-    def _break_off(self, quarantined: set[str]) -> None:
-        for task in [task for task in self._carried if task.fingerprint in quarantined]:
+    def _cancel_quarantined(self, quarantined: set[str]) -> None:
+        for task in [task for task in self._in_progress if task.fingerprint in quarantined]:
             task.is_quarantined = True
             task.scope.cancel()
 
-    def _held(self, task: Task) -> Suspect | None:
-        """Return what the replicas say of a request, if anything speaks against it."""
-        held = self._world.steering.suspects.get(task.fingerprint)
-        return held if held is not None and held.is_current else None
+    def _shared_suspect(self, task: Task) -> Suspect | None:
+        """Return the replicas' current evidence against a request, if any."""
+        suspect = self._world.steering.suspects.get(task.fingerprint)
+        return suspect if suspect is not None and suspect.is_current else None
 
-    def _ends_here(self, task: Task, now: float) -> int:
-        seen = self._seen.get(task.fingerprint)
-        if seen is None:
+    def _local_crashes(self, task: Task, now: float) -> int:
+        evidence = self._local_evidence.get(task.fingerprint)
+        if evidence is None:
             return 0
-        if now - seen.last_at > REMEMBERED_FOR_S:
-            del self._seen[task.fingerprint]
+        if now - evidence.last_at > EVIDENCE_TTL_S:
+            del self._local_evidence[task.fingerprint]
             return 0
-        return seen.ends
+        return evidence.ends
 
-    def _knows_nothing(self) -> bool:
-        """Tell whether no request is suspect, so that none needs a digest."""
-        return not self._seen and not self._world.steering.suspects
+    def _has_no_suspects(self) -> bool:
+        """Return whether no request is suspect, so that none needs a fingerprint."""
+        return not self._local_evidence and not self._world.steering.suspects
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -1,4 +1,4 @@
-"""The upstreams as one gateway sees them: what they say, what it sent, how that went."""
+"""The upstreams that a gateway has learned of, and whether each may get a request."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from msgspec import Struct
 
 from finchway.feed import World
-from finchway.gateway._askings import Askings
+from finchway.gateway._askings import PushbackTracker
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
-from finchway.gateway._limits import LimitDesk
+from finchway.gateway._limits import LimitTracker
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._reservation import Reservation
 from finchway.observe import BeliefChanged, DecisionLog
@@ -20,18 +20,18 @@
 from finchway.pushback import Asked, LimitWords, RestBook
 from finchway.registry import Registration, UpstreamState
 
-# Part of the allowed rate that a cold upstream gets: two gateways may hold themselves for its only
-# one for a moment.
-COLD_SAFETY = 0.8
-# Connections that are kept open to each upstream while nothing uses them.
-IDLE_KEPT = 16
+# Fraction of the allowed rate sent to a cold upstream, since two gateways may both believe for a
+# moment that they are its only sender.
+COLD_RATE_FACTOR = 0.8
+# Idle connections kept open to each upstream.
+MAX_IDLE_CONNECTIONS = 16
 IN_USE = "in use"
 SILENT = "silent"
 REPLACED = "over: started again"
 LEAVING = "leaving, as its answers say"
-POOR = "answering worse than its fellows"
-# Seconds after which the table is brought up to date without news, for what only time changes.
-_REFRESH_S = 0.5
+OUTLIER = "answering worse than its fellows"
+# Interval of refreshes without new information, for states that depend on time only.
+_REFRESH_INTERVAL_S = 0.5
 
 
 class RegionUpstreams(Struct):
@@ -40,32 +40,34 @@
     names: tuple[str, ...]
     records: dict[str, UpstreamRecord]
 
-    def back_in(self, wanted_in: Callable[[UpstreamRecord, float], float], now: float) -> float:
-        """Return the seconds until one of them wants requests again; 0 unless none does now."""
+    def available_in(
+        self, record_available_in: Callable[[UpstreamRecord, float], float], now: float
+    ) -> float:
+        """Return the seconds until one of the upstreams is available; 0 if one is now."""
         least = float("inf")
         for record in self.records.values():
-            least = min(least, wanted_in(record, now))
+            least = min(least, record_available_in(record, now))
             if least <= 0:
                 break
         return least
 
     @property
     def slots(self) -> int:
-        """How many requests they work on at once."""
+        """Number of requests that they process at once."""
         return sum(record.registration.slots for record in self.records.values())
 
-    def capacity(self, a_slot: float, left_out: frozenset[str], limits: LimitWords) -> float:
-        """Return how many requests a second they bear, some upstreams left out.
+    def capacity(self, rate_per_slot: float, excluded: frozenset[str], limits: LimitWords) -> float:
+        """Return the capacity in requests per second, without the excluded upstreams.
 
-        `a_slot` is what one slot bears; an upstream that names a limit bears no more than that.
+        `rate_per_slot` is the capacity of one slot. An upstream's named limit caps its capacity.
         """
         total = 0.0
         for name, record in self.records.items():
-            if name in left_out:
+            if name in excluded:
                 continue
             limit = limits.rate(record.registration.life)
-            borne = record.registration.slots * a_slot
-            total += borne if limit is None else min(borne, limit)
+            record_capacity = record.registration.slots * rate_per_slot
+            total += record_capacity if limit is None else min(record_capacity, limit)
         return total
 
 
@@ -88,68 +90,68 @@
         self._records: dict[str, UpstreamRecord] = {}
         self._by_service: dict[str, dict[str, RegionUpstreams]] = {}
         self._names: dict[str, str] = {}
-        self._note_replaced: Callable[[UpstreamRecord], None] = lambda record: None
+        self._on_replaced: Callable[[UpstreamRecord], None] = lambda record: None
         self._refreshed_at = float("-inf")
-        self._seen_changes = -1
+        self._applied_changes = -1
         self._opened = 0
-        self._limits = LimitDesk(name, world, self._region_of, decisions)
-        self._askings = Askings(decisions, self._limits.words)
+        self._limits = LimitTracker(name, world, self._region_of, decisions)
+        self._pushback = PushbackTracker(decisions, self._limits.named)
 
     @property
     def decisions(self) -> DecisionLog:
-        """Where changes of beliefs are logged."""
+        """The log of state changes."""
         return self._decisions
 
     @property
     def opened(self) -> int:
-        """How many connections have been opened."""
+        """Number of connections opened so far."""
         return self._opened
 
     @property
     def rests(self) -> RestBook:
-        """The rests that upstreams have asked of this gateway."""
-        return self._askings.rests
+        """The backoffs that upstreams have requested."""
+        return self._pushback.rests
 
     @property
-    def limits(self) -> LimitDesk:
-        """The limits that upstreams have named, and what this gateway may send of them."""
+    def limits(self) -> LimitTracker:
+        """The rate limits of upstreams, and this gateway's share of each."""
         return self._limits
 
     @property
     def records(self) -> Collection[UpstreamRecord]:
-        """All upstreams that are known."""
+        """The records of all known upstreams."""
         return self._records.values()
 
     def get(self, instance: str) -> UpstreamRecord | None:
-        """Return the record of an upstream."""
+        """Return the record of an upstream; None if it is not known."""
         return self._records.get(instance)
 
     def states(self) -> dict[str, int]:
-        """Return how many upstreams are in each state."""
+        """Return the number of upstreams by state."""
         return dict(Counter(record.state for record in self._records.values()))
 
     def regions(self, service: str, now: float) -> dict[str, RegionUpstreams]:
-        """Return by region the upstreams of a service that may get something new."""
-        changed = self._world.changes != self._seen_changes
-        if changed or now - self._refreshed_at >= _REFRESH_S:
+        """Return the upstreams of a service that may get new requests by region."""
+        changed = self._world.changes != self._applied_changes
+        if changed or now - self._refreshed_at >= _REFRESH_INTERVAL_S:
             self.refresh(now)
         return self._by_service.get(service, {})
 
     def refresh(self, now: float) -> None:
-        """Bring the table up to what the world says."""
+        """Update the table from the received feeds."""
         self._refreshed_at = now
-        self._seen_changes = self._world.changes
+        self._applied_changes = self._world.changes
         self._world.forget_silent(now)
         self._names = {}
         by_service: dict[str, list[UpstreamRecord]] = {}
         seen = set()
-        for heard in self._world.registry.all():
-            registration = heard.registration
+        for known in self._world.registry.all():
+            registration = known.registration
             seen.add(registration.instance)
             self._names[registration.life] = registration.instance
-            record = self._record(registration, heard.heard_at)
+            record = self._record(registration, known.heard_at)
             state = self._state(registration)
-            self._note_state(record, state, now - heard.heard_at)
+            self._note_state(record, state, now - known.heard_at)
             if state == IN_USE:
                 by_service.setdefault(registration.service, []).append(record)
             else:
@@ -175,77 +177,76 @@
             region: RegionUpstreams(tuple(sorted(held)), held) for region, held in found.items()
         }
 
-    def note_standing(self, record: UpstreamRecord, is_poor: bool) -> None:
-        """Log that an upstream is left out, or is not any more, since its answers are poor."""
-        words = ("well", POOR) if is_poor else (POOR, "well")
+    def note_outlier(self, record: UpstreamRecord, is_outlier: bool) -> None:
+        """Log that an upstream has become an outlier, or is one no longer."""
+        states = ("well", OUTLIER) if is_outlier else (OUTLIER, "well")
         self._decisions.write(
             BeliefChanged(
                 subject=f"upstream/{record.registration.life}",
-                now=words[1],
-                before=words[0],
-                source=f"its last answers; bad {record.standing.bad_share:.2f}",
+                now=states[1],
+                before=states[0],
+                source=f"its last answers; bad {record.outlier_state.bad_share:.2f}",
             )
         )
 
-    def note_asked(self, record: UpstreamRecord, asked: Asked, now: float) -> None:
-        """Take in what an answer asks of this gateway."""
-        if self._askings.note(record.registration, asked, now):
+    def note_pushback(self, record: UpstreamRecord, pushback: Asked, now: float) -> None:
+        """Apply the pushback of an answer."""
+        if self._pushback.note(record.registration, pushback, now):
             self.refresh(now)
 
     def watch_replaced(self, note: Callable[[UpstreamRecord], None]) -> None:
-        """Have each life told that is over since a later one of the same upstream has begun."""
-        self._note_replaced = note
+        """Set the callback for incarnations that a later one has replaced."""
+        self._on_replaced = note
 
     def was_replaced(self, record: UpstreamRecord) -> bool:
-        """Tell whether a later life of the upstream has begun."""
+        """Return whether a later incarnation of the upstream has started."""
         return record.state == REPLACED
 
     def resting(self, now: float) -> frozenset[str]:
-        """Return the upstreams that rest since they have asked this gateway for it."""
+        """Return the upstreams that are in a backoff that they requested."""
         lives = self.rests.resting(now)
         return frozenset(self._names[life] for life in lives if life in self._names)
 
-    def may_get(self, record: UpstreamRecord, now: float) -> bool:
-        """Tell whether an upstream may get a request at this moment."""
+    def is_available(self, record: UpstreamRecord, now: float) -> bool:
+        """Return whether an upstream may get a request now."""
         life = record.registration.life
-        if record.resting_until > now or not self.rests.may_send(life, now):
+        if record.backoff_until > now or not self.rests.may_send(life, now):
             return False
-        # A limit is for all gateways together: each keeps to its part, since one that kept to the
-        # whole of it alone would go on sending what it always did.
+        # A named limit applies to all gateways together, so each one keeps to its share.
         return self._limits.allowances.may_send(life, now) and self._cold_allows(record, now)
 
-    def wanted_in(self, record: UpstreamRecord, now: float) -> float:
-        """Return the seconds until an upstream that rests, or is at its limit, wants a request."""
+    def available_in(self, record: UpstreamRecord, now: float) -> float:
+        """Return the seconds until an upstream's requested backoff or limit admits a request."""
         life = record.registration.life
         return max(self.rests.left(life, now), self._limits.allowances.wait(life, now))
 
     def reserve(self, record: UpstreamRecord, request_id: str, key: str, now: float) -> Reservation:
-        """Count a request that is to be sent."""
+        """Count a request that is about to be sent."""
         reserved = Reservation(record, request_id)
         reserved.is_trial = self.rests.begin(reserved.life, now)
         reserved.is_counted = self._limits.allowances.take(reserved.life, now)
         record.in_flight += 1
-        if record.remembers(key, now):
-            record.under_way[request_id] = now
+        if record.is_warm(key, now):
+            record.warm_in_flight[request_id] = now
         if record.pacer is not None and record.cold_until > now:
             record.pacer.take(now)
         return reserved
 
-    def release(self, reserved: Reservation, was_taken: bool) -> None:
-        """Count a request that is not under way any more, or has never been sent."""
+    def release(self, reserved: Reservation, was_answered: bool) -> None:
+        """Stop counting a request that has ended or was never sent."""
         record = reserved.record
         record.in_flight -= 1
-        record.under_way.pop(reserved.request_id, None)
+        record.warm_in_flight.pop(reserved.request_id, None)
         if reserved.is_trial:
-            self.rests.end_trial(reserved.life, was_taken)
+            self.rests.end_trial(reserved.life, was_answered)
         if reserved.is_counted and not reserved.is_sent:
             self._limits.allowances.give_back(reserved.life)
 
     async def connect(self, reserved: Reservation, now: float) -> UpstreamConnection:
         """Return an idle connection or a new one; raises `AttemptError`.
 
-        While a new one came up, the upstream may have asked for rest, named a limit, or said that
-        it leaves: then nothing may go out on it.
+        Availability is checked again once a new connection is up, since the upstream may have
+        requested a backoff, named a limit or announced that it leaves meanwhile.
         """
         record = reserved.record
         while record.idle:
@@ -253,13 +254,15 @@
             if connection.is_usable(now):
                 return connection
             connection.close()
-        connection = await self.connect_anew(record)
-        if self._still_wants(reserved, trio.current_time()):
+        connection = await self.open_connection(record)
+        if self._still_available(reserved, trio.current_time()):
             return connection
         self.keep(record, connection)
-        raise AttemptError(Failure.UNWANTED, "not sent: it has asked for less meanwhile, or leaves")
+        raise AttemptError(
+            Failure.UNWANTED, "not sent: upstream became unavailable while connecting"
+        )
 
-    def _still_wants(self, reserved: Reservation, now: float) -> bool:
+    def _still_available(self, reserved: Reservation, now: float) -> bool:
         if reserved.record.state != IN_USE or self.rests.left(reserved.life, now) > 0:
             return False
         if reserved.is_counted:
@@ -269,7 +272,7 @@
         reserved.is_counted = self._limits.allowances.take(reserved.life, now)
         return True
 
-    async def connect_anew(self, record: UpstreamRecord) -> UpstreamConnection:
+    async def open_connection(self, record: UpstreamRecord) -> UpstreamConnection:
         """Return a new connection; raises `AttemptError`."""
         self._opened += 1
         return await UpstreamConnection.open(
@@ -277,16 +280,16 @@
         )
 
     def put_back(self, record: UpstreamRecord, connection: UpstreamConnection) -> None:
-        """Keep a connection for further requests after an answer, or close it."""
+        """Return a connection to the pool after an answer, or close it."""
         if connection.release(trio.current_time()):
             self.keep(record, connection)
         else:
             connection.close()
 
     def keep(self, record: UpstreamRecord, connection: UpstreamConnection) -> None:
-        """Keep a connection on which nothing is under way, or close it."""
+        """Add an unused connection to the pool, or close it."""
         known = self._records.get(record.registration.instance) is record
-        if known and len(record.idle) < IDLE_KEPT:
+        if known and len(record.idle) < MAX_IDLE_CONNECTIONS:
             record.idle.append(connection)
         else:
             connection.close()
@@ -297,7 +300,7 @@
             record.close_idle()
 
     def _region_of(self, life: str) -> str:
-        """Return the region of a life that is known; empty otherwise."""
+        """Return the region of an incarnation; empty if it is not known."""
         record = self._records.get(self._names.get(life, ""))
         if record is None:
             return ""
@@ -311,7 +314,7 @@
             record = None
         if record is None:
             record = self._records[registration.instance] = UpstreamRecord(registration)
-            self._askings.pass_on(registration)
+            self._pushback.inherit(registration)
         record.registration = registration
         cold_until = heard_at + registration.cold_for if registration.cold_for > 0 else heard_at
         ended_at = self._world.evacuation_changed_at(registration.zone)
@@ -320,10 +323,10 @@
         return record
 
     def _end(self, record: UpstreamRecord) -> None:
-        """Break off what is under way at a life that is over, since the next one has begun."""
+        """Close all connections of an incarnation that a later one has replaced."""
         self._note_state(record, REPLACED, -0.001)
-        record.end()
-        self._note_replaced(record)
+        record.close_all()
+        self._on_replaced(record)
 
     def _cold_start(self, service: str) -> float:
         spec = self._world.steering.catalog.service(service)
@@ -332,7 +335,7 @@
     def _state(self, registration: Registration) -> str:
         if registration.state is not UpstreamState.READY:
             return registration.state.value
-        if self._askings.is_leaving(registration.life):
+        if self._pushback.is_leaving(registration.life):
             return LEAVING
         mark = self._world.steering.mark_of(registration)
         if mark is not None:
@@ -356,9 +359,9 @@
         record.state = state
 
     def _cold_allows(self, record: UpstreamRecord, now: float) -> bool:
-        """Let only one gateway send to a cold upstream, at its pace.
+        """Return whether the cold start limit admits a request.
 
-        The gateways' lists may differ for a moment, so two of them must stay below the bound.
+        One gateway, chosen by rendezvous hashing, sends to a cold upstream at a limited rate.
         """
         if record.cold_until <= now:
             record.pacer = None
@@ -371,5 +374,5 @@
         if not names or rank(registration.instance, names)[0] != self._name:
             return False
         if record.pacer is None:
-            record.pacer = Pacer(spec.cold_rate * COLD_SAFETY)
+            record.pacer = Pacer(spec.cold_rate * COLD_RATE_FACTOR)
         return record.pacer.ready(now)
--- a/src/finchway/gateway/_task.py
+++ b/src/finchway/gateway/_task.py
@@ -1,4 +1,4 @@
-"""A request on its way, and the choice of an upstream for it with the reasons."""
+"""A request in progress, and the choice of an upstream for it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from finchway.pushback import ASKED_NOTHING, Asked, Part
 
 
-class Evidence(Struct):
-    """What a request has done to upstreams, as far as this gateway knows.
+class CrashEvidence(Struct):
+    """Upstreams that have crashed under a request.
 
-    `known` counts the upstreams that were known to have ended under it when it came, `seen` those
-    that have since; `last` names the life of the newest. `is_over` tells that no further attempt
-    follows, and `is_answered` that an upstream has run it and lives.
+    `known` counts those known when the request arrived, `seen` those since, and `last` is the
+    incarnation of the latest. `is_over` is set after the last attempt, and `is_answered` once an
+    upstream has run the request without a crash.
     """
 
     known: int = 0
@@ -29,20 +29,19 @@
     is_answered: bool = False
 
     @property
-    def ends(self) -> int:
-        """How many upstreams have ended under it, one after the other."""
+    def crashes(self) -> int:
+        """Total number of upstreams that have crashed under it."""
         return self.known + self.seen
 
 
 class Task(Struct, eq=False):
-    """A request on its way; `refusal` says why no upstream was chosen.
-
-    `has_key` tells whether the caller named the thing that the request concerns; `key` is the
-    request's id otherwise. `is_read` is set once the caller has nothing more to send. `once` has it
-    run by one upstream at most. Cancelling `scope` ends the attempts; `is_quarantined` tells that
-    this was done since upstreams end under the request. `asked` is what the answer of the last
-    attempt asked of this gateway. `back_in` are the seconds until an upstream wants requests again,
-    when all that could serve it rest.
+    """A request in progress; `refusal` is the reason why no upstream was chosen.
+
+    `has_key` is set if the caller sent an affinity key; otherwise `key` is the request's id.
+    `is_read` is set once the request has been read completely. With `once`, it is not retried if
+    it may have run. Cancelling `scope` ends the attempts; `is_quarantined` marks a cancellation
+    because of the quarantine. `asked` is the pushback in the answer of the last attempt. `back_in`
+    are the seconds until an upstream is available, if none is.
     """
 
     request: CallerRequest
@@ -61,14 +60,14 @@
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     once: bool = False
     is_quarantined: bool = False
-    evidence: Evidence = field(default_factory=Evidence)
+    evidence: CrashEvidence = field(default_factory=CrashEvidence)
     digest: str = ""
     asked: Asked = ASKED_NOTHING
     back_in: float = 0.0
 
     @property
     def fingerprint(self) -> str:
-        """The same for each time that its caller sends it; worked out when it is first needed."""
+        """The fingerprint that is the same for each retry by the caller; computed on demand."""
         if not self.digest:
             self.digest = fingerprint(self.request)
         return self.digest
@@ -77,10 +76,9 @@
 class ChoiceReason(Enum):
     """Why an upstream gets a request.
 
-    HOME: it is where the key belongs. RELIEF: that one has no room, and this one has a free slot.
-    TRIAL: it was left out for its poor answers, and one request tries it again. RETURN: its rest is
-    over, and one request goes first. OTHER_REGION: the region whose turn it is has no upstream that
-    may get anything.
+    HOME: it is the key's home. RELIEF: the home is full, and this one has a free slot. TRIAL: it is
+    an outlier that is tried again. RETURN: its requested backoff is over, and one trial request is
+    sent first. OTHER_REGION: the planned region has no available upstream.
     """
 
     HOME = "home"
@@ -91,9 +89,9 @@
 
 
 class PassedOver(Struct):
-    """How many upstreams were passed over before one was chosen, in all regions that were tried.
+    """Numbers of upstreams that were skipped before one was chosen, over all regions tried.
 
-    `resting` for the rest that they had asked for, `at_limit` for the limits that they name.
+    `resting` counts those in a requested backoff, `at_limit` those at their named limit.
     """
 
     resting: int = 0
@@ -101,13 +99,12 @@
 
 
 class Choice(Struct):
-    """An upstream for one attempt, and what decided for it.
+    """An upstream for one attempt, and the data that the choice is based on.
 
-    `busy` is the estimated requests at it, from a report that was `report_age` seconds old;
-    `heard_age` is the age of the newest word of a replica, and `kept_part` the part of the
-    service's requests that this region keeps at the moment. `rest_left` is what was left of the
-    rest that it had asked for, in seconds. `limit` are the requests a second that it has said it
-    takes, if it has, `limit_age` how long ago, and `part` what this gateway may send of them.
+    `busy` is its estimated load from a report that was `report_age` seconds old, `heard_age` the
+    age of the latest feed, and `kept_part` the share of the service's requests that the home region
+    handles itself. `rest_left` are the seconds left of a backoff that it requested. `limit` is the
+    rate limit that it has named, if any, `limit_age` its age, and `part` this gateway's share.
     """
 
     record: UpstreamRecord
--- a/src/finchway/gateway/_transit.py
+++ b/src/finchway/gateway/_transit.py
@@ -1,22 +1,21 @@
-"""How long control's answers are on the way to a gateway, and whether its link is pressed."""
+"""Detects congestion of a gateway's link from the transit times of replicas' answers."""
 
 from __future__ import annotations
 
 from collections import deque
 
-# Seconds over which answers are looked at: about eight come in it, from all replicas.
-LOOKED_AT_S = 1.0
-# Seconds on the way, both ways together, that even the quickest answer takes on a pressed link. The
-# way between the regions that are furthest apart takes 0.07 s; at 0.4 s a question that a replica
-# held for news is not answered within the second after which a replica counts as lost.
-PRESSED_TRANSIT_S = 0.3
+# Length of the sliding window.
+WINDOW_S = 1.0
+# Shortest transit time in the window, both ways together, from which the link is congested: above
+# the round trip between distant regions, and low enough to be reported before polls time out.
+CONGESTED_TRANSIT_S = 0.3
 
 
 class TransitMeter:
-    """The times on the way of the newest answers.
+    """Transit times of recent answers.
 
-    The quickest tells of this process's own link: a slow or far replica makes only its own answers
-    late.
+    The shortest one reflects this process's own link, since a slow or distant replica only delays
+    its own answers.
     """
 
     __slots__ = ("_times",)
@@ -25,11 +24,11 @@
         self._times: deque[tuple[float, float]] = deque()
 
     def note(self, seconds: float, now: float) -> None:
-        """Take in how long an answer was on the way."""
+        """Record the transit time of an answer."""
         self._times.append((now, seconds))
 
-    def is_pressed(self, now: float) -> bool:
-        """Tell whether all answers of the last moment were long on the way; not without any."""
-        while self._times and self._times[0][0] < now - LOOKED_AT_S:
+    def is_congested(self, now: float) -> bool:
+        """Return whether all recent answers were slow; False if there are none."""
+        while self._times and self._times[0][0] < now - WINDOW_S:
             self._times.popleft()
-        return bool(self._times) and min(s for _, s in self._times) >= PRESSED_TRANSIT_S
+        return bool(self._times) and min(s for _, s in self._times) >= CONGESTED_TRANSIT_S
--- a/tests/gateway/test_asked_rest.py
+++ b/tests/gateway/test_asked_rest.py
@@ -226,7 +226,7 @@
 
     upstream = Upstream("i-1", ask)
     async with gateway(upstream) as subject:
-        connect = subject.table.connect_anew
+        connect = subject.table.open_connection
         both_wait, answered = trio.Event(), trio.Event()
 
         async def connect_slowly(record):
@@ -237,7 +237,7 @@
                 await answered.wait()
             return await connect(record)
 
-        subject.table.connect_anew = connect_slowly
+        subject.table.open_connection = connect_slowly
         calls = Calls(subject)
         async with trio.open_nursery() as nursery:
             for number in range(2):
--- a/tests/gateway/test_deadly_requests.py
+++ b/tests/gateway/test_deadly_requests.py
@@ -207,7 +207,7 @@
     subject.steering.report_requests(ReportRequests(now_ms=0, reports=list(reports)), 0)
     image = subject.steering.image(subject.world.steering.revision)
     subject.tell()
-    subject.suspects.learn(image.suspects)
+    subject.suspects.update(image.suspects)
 
 
 def test_other_callers_and_other_bodies_are_not_held_for_the_same_request():
@@ -302,7 +302,7 @@
 
             subject.nursery.start_soon(call)
             await started.wait()
-            (task,) = subject.suspects._carried
+            (task,) = subject.suspects._in_progress
             tell_reports(subject, RequestReport(task.fingerprint, 3, "elsewhere"))
             with trio.fail_after(1.0):
                 await upstream.ended.wait()
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -177,8 +177,8 @@
     async with gateway(first, second) as subject:
         seen = set()
         for number in range(20):
-            subject.table.get("i-1").succeed()
-            subject.table.get("i-2").succeed()
+            subject.table.get("i-1").note_success()
+            subject.table.get("i-2").note_success()
             ran = len(first.requests)
             caller = await subject.connect()
             status, _, _ = await caller.ask(affinity_key=str(number).encode())
--- a/tests/gateway/test_named_limit.py
+++ b/tests/gateway/test_named_limit.py
@@ -192,7 +192,7 @@
 async def test_what_waited_for_its_connection_keeps_to_a_limit_that_was_named_meanwhile():
     upstream = Needy(0.5)
     async with gateway(upstream) as subject:
-        connect = subject.table.connect_anew
+        connect = subject.table.open_connection
         go_on = trio.Event()
 
         async def connect_slowly(record):
@@ -200,7 +200,7 @@
                 await go_on.wait()
             return await connect(record)
 
-        subject.table.connect_anew = connect_slowly
+        subject.table.open_connection = connect_slowly
         calls = Calls(subject)
         async with trio.open_nursery() as nursery:
             for number in range(6):
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -153,7 +153,7 @@
     held = subject.table.get("n")
     held.in_flight = 2
     assert set(subject.zones_of(range(30))) == {None}
-    held.rest(trio.current_time(), 5.0)
+    held.back_off(trio.current_time(), 5.0)
     assert set(subject.zones_of(range(30))) == {"south-a"}
 
 
@@ -230,11 +230,11 @@
     subject.router.count_request(task, trio.current_time())
     home = subject.router.choose(task, trio.current_time()).record
     home.in_flight = 3
-    home.report(running=3, waiting=0, now=trio.current_time())
+    home.note_load(running=3, waiting=0, now=trio.current_time())
     assert subject.router.choose(subject.task("a"), trio.current_time()).record is home
     await trio.sleep(1.0)
     assert subject.router.choose(subject.task("a"), trio.current_time()).record is not home
-    home.report(running=5, waiting=0, now=trio.current_time())
+    home.note_load(running=5, waiting=0, now=trio.current_time())
     home.in_flight = 4
     assert subject.router.choose(subject.task("a"), trio.current_time()).record is not home
 
@@ -245,13 +245,13 @@
     first = subject.router.choose(subject.task("a"), trio.current_time())
     assert (first.reason, first.region, first.busy) == (ChoiceReason.HOME, "north", 0.0)
     assert first.report_age == float("inf")
-    first.record.report(running=4, waiting=5, now=trio.current_time())
+    first.record.note_load(running=4, waiting=5, now=trio.current_time())
     await trio.sleep(0.1)
     second = subject.router.choose(subject.task("a"), trio.current_time())
     assert second.reason is ChoiceReason.RELIEF
     assert second.record is not first.record
     for record in (first.record, second.record):
-        record.rest(trio.current_time(), 5.0)
+        record.back_off(trio.current_time(), 5.0)
     third = subject.router.choose(subject.task("a"), trio.current_time())
     assert third.record not in (first.record, second.record)
 
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -118,7 +118,7 @@
             await trio.sleep(1.0)
             before, at = len(link.asked), trio.current_time()
             for _ in range(10):
-                session.tell_soon()
+                session.repoll()
                 await trio.sleep(0.03)
             nursery.cancel_scope.cancel()
         return [(asked - at, address) for asked, address, _ in link.asked[before:]]
--- a/tests/unit/test_fingerprint.py
+++ b/tests/unit/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests of callers the same."""
+"""Fingerprints that identify retries of the same request."""
 
 import pytest
 from msgspec.structs import replace
@@ -22,7 +22,7 @@
         {"headers": [(b"authorization", b"meP")], "method": "OST"},
     ],
 )
-def test_who_asks_for_what_and_with_which_body_makes_another_request(change):
+def test_caller_target_and_body_change_the_fingerprint(change):
     assert fingerprint(replace(REQUEST, **change)) != fingerprint(REQUEST)
 
 
@@ -34,11 +34,11 @@
         {"caller": "10.0.0.2"},
     ],
 )
-def test_ids_times_and_addresses_do_not(change):
+def test_ids_times_and_addresses_do_not_change_the_fingerprint(change):
     assert fingerprint(replace(REQUEST, **change)) == fingerprint(REQUEST)
 
 
-def test_the_length_tells_long_bodies_apart_that_begin_alike():
+def test_declared_length_distinguishes_streamed_bodies_with_the_same_start():
     def streamed(length):
         return replace(REQUEST, headers=[(b"content-length", length)], more=True)
 
--- a/tests/unit/test_report_sender.py
+++ b/tests/unit/test_report_sender.py
@@ -1,16 +1,16 @@
-"""Reports on requests go to one replica after the other until one has committed them."""
+"""Reports on requests are sent to one replica after the other until one commits them."""
 
 import trio
 import trio.testing
 
 from finchway.exceptions import TransportError
 from finchway.gateway import ReportSender
-from finchway.gateway._reports import MOST_WAITING
+from finchway.gateway._reports import MAX_WAITING
 from finchway.state import RequestReport
 
 
 class Replicas:
-    """Stands for the link to replicas; those that are down give no answer."""
+    """Fake link to replicas; those that are down do not answer."""
 
     def __init__(self, down=()):
         self.down = set(down)
@@ -40,7 +40,7 @@
     return [RequestReport(f"r{number}", 1, "i-1") for number in range(count)]
 
 
-def test_the_next_replica_is_asked_when_one_does_not_answer():
+def test_the_next_replica_is_tried_when_one_does_not_answer():
     replicas = Replicas(down={"a:1", "b:1"})
 
     async def check(sender):
@@ -52,7 +52,7 @@
     play(check, replicas)
 
 
-def test_reports_that_come_up_meanwhile_are_sent_as_well():
+def test_reports_queued_during_a_send_are_sent_afterwards():
     replicas = Replicas()
 
     async def check(sender):
@@ -66,18 +66,18 @@
     play(check, replicas)
 
 
-def test_reports_wait_for_a_replica_and_the_oldest_are_dropped_beyond_a_bound():
+def test_reports_wait_for_a_replica_and_a_full_queue_drops_the_oldest():
     replicas = Replicas(down={"a:1", "b:1", "c:1"})
 
     async def check(sender):
-        for each in reports(MOST_WAITING + 3):
+        for each in reports(MAX_WAITING + 3):
             sender.put(each)
         assert sender.dropped == 3
         await trio.sleep(2.0)
-        assert sender.waiting == MOST_WAITING
+        assert sender.waiting == MAX_WAITING
         replicas.down.clear()
         await trio.sleep(5.0)
         assert sender.waiting == 0
-        assert len(replicas.committed) == MOST_WAITING
+        assert len(replicas.committed) == MAX_WAITING
 
     play(check, replicas)
--- a/tests/unit/test_second_life.py
+++ b/tests/unit/test_second_life.py
@@ -146,7 +146,7 @@
         world.learn(feed, float(place))
         table.refresh(float(place))
         record = table.get("i")
-        record.note_key("k", float(place))
+        record.note_warm_key("k", float(place))
         record.in_flight += 1
         records.append(record)
     first, second = records
--- a/tests/unit/test_transit.py
+++ b/tests/unit/test_transit.py
@@ -1,28 +1,28 @@
-"""When a gateway's link counts as pressed."""
+"""Detection of a congested gateway link."""
 
-from finchway.gateway._transit import LOOKED_AT_S, PRESSED_TRANSIT_S, TransitMeter
+from finchway.gateway._transit import CONGESTED_TRANSIT_S, WINDOW_S, TransitMeter
 
-LONG = PRESSED_TRANSIT_S + 0.1
+LONG = CONGESTED_TRANSIT_S + 0.1
 
 
-def test_a_link_is_pressed_while_every_answer_is_long_on_the_way():
+def test_link_is_congested_while_all_answers_are_slow():
     meter = TransitMeter()
-    assert not meter.is_pressed(0.0)
+    assert not meter.is_congested(0.0)
     for number in range(5):
         meter.note(LONG, 1.0 + number / 10)
-    assert meter.is_pressed(1.5)
+    assert meter.is_congested(1.5)
 
 
-def test_one_quick_answer_tells_that_the_others_were_held_up_elsewhere():
+def test_one_fast_answer_shows_that_the_link_is_not_congested():
     meter = TransitMeter()
     for number in range(5):
         meter.note(LONG, 1.0 + number / 10)
     meter.note(0.002, 1.6)
-    assert not meter.is_pressed(1.7)
-    assert not meter.is_pressed(1.6 + LOOKED_AT_S)
+    assert not meter.is_congested(1.7)
+    assert not meter.is_congested(1.6 + WINDOW_S)
 
 
-def test_a_gateway_that_hears_nothing_does_not_say_that_its_link_is_pressed():
+def test_link_without_recent_answers_is_not_congested():
     meter = TransitMeter()
     meter.note(LONG, 1.0)
-    assert not meter.is_pressed(1.1 + LOOKED_AT_S)
+    assert not meter.is_congested(1.1 + WINDOW_S)
