--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -28,12 +28,12 @@
 
 NAMES = HeaderNames()
 ZONES = {"north-a": "north", "south-a": "south"}
-PATIENCE_S = 5.0
-CALLS_A_SECOND = 40
+TEST_TIMEOUT_S = 5.0
+DEFAULT_CALLS_PER_S = 40
 
 
 class Upstream:
-    """A scripted upstream: `script` gets each connection after the head and body of a request."""
+    """An upstream on loopback; `script` handles each request and returns False to disconnect."""
 
     def __init__(self, instance: str, script, zone: str = "north-a", **fields) -> None:
         self.instance = instance
@@ -76,13 +76,13 @@
         return Registration(**(values | self.fields | fields))
 
 
-async def serve_well(upstream: Upstream, stream, request: bytes) -> None:
-    """Answer every request."""
+async def serve_ok(upstream: Upstream, stream, request: bytes) -> None:
+    """Answer every request with 200 and the instance's name."""
     await stream.send_all(answer(request, upstream.instance.encode()))
 
 
 class Caller:
-    """A raw connection to the gateway."""
+    """A raw connection of a caller to the gateway."""
 
     def __init__(self, stream) -> None:
         self.stream = stream
@@ -92,8 +92,8 @@
         lines = [method + b" " + path + b" HTTP/1.1", b"Host: " + host]
         values = {"request_id": b"id-1", "deadline_ms": b"2000"} | headers
         for name, value in values.items():
-            known = b"Authorization" if name == "credential" else getattr(NAMES, name)
-            lines.append(known + b": " + value)
+            header = b"Authorization" if name == "credential" else getattr(NAMES, name)
+            lines.append(header + b": " + value)
         if body:
             lines.append(b"Content-Length: " + str(len(body)).encode())
         await self.stream.send_all(b"\r\n".join(lines) + b"\r\n\r\n" + body)
@@ -112,40 +112,40 @@
         body, self._data = self._data[:size], self._data[size:]
         return int(head.split()[1]), head, body
 
-    async def ask(self, *args, **fields) -> tuple[int, bytes, bytes] | None:
+    async def request(self, *args, **fields) -> tuple[int, bytes, bytes] | None:
         await self.send(*args, **fields)
         return await self.receive()
 
     async def _more(self) -> bool:
         try:
-            part = await self.stream.receive_some(65536)
+            data = await self.stream.receive_some(65536)
         except trio.BrokenResourceError:
             return False
-        self._data += part
-        return bool(part)
+        self._data += data
+        return bool(data)
 
 
 class Calls:
-    """Calls at a steady rate, each on a connection of its own, and how they went."""
+    """Calls at a steady rate, each on its own connection, and their outcomes."""
 
     def __init__(self, subject) -> None:
         self.subject = subject
         self.statuses: list[int] = []
-        self.told: list[float] = []
-        self.took: list[float] = []
+        self.retry_after: list[float] = []
+        self.durations: list[float] = []
 
     async def call(self, path=b"/x/1", **fields) -> None:
         started = trio.current_time()
         caller = await self.subject.connect()
-        status, head, _ = await caller.ask(path=path, **fields)
-        self.took.append(trio.current_time() - started)
+        status, head, _ = await caller.request(path=path, **fields)
+        self.durations.append(trio.current_time() - started)
         self.statuses.append(status)
         if status == 503:
-            self.told.append(float(header_of(head, b"retry-after")))
+            self.retry_after.append(float(header_of(head, b"retry-after")))
         await trio.aclose_forcefully(caller.stream)
 
-    async def press(self, seconds: float, rate: float = CALLS_A_SECOND) -> None:
-        """Call for some seconds, whatever becomes of the calls."""
+    async def run_for(self, seconds: float, rate: float = DEFAULT_CALLS_PER_S) -> None:
+        """Start calls at a steady rate, whatever their outcome."""
         async with trio.open_nursery() as nursery:
             for number in range(int(seconds * rate)):
                 identity = b"id-%d" % number
@@ -155,7 +155,7 @@
 
 
 class GatewayUnderTest:
-    """The gateway and the means to tell it things."""
+    """A gateway in this process, with methods to feed and configure it."""
 
     def __init__(self, nursery: trio.Nursery, bounds: Bounds, name: str = "g1") -> None:
         self.nursery = nursery
@@ -173,7 +173,7 @@
             self.world, self.table, router, NAMES, log, self.suspects, bounds.apply_within
         )
         self.steering = Steering()
-        self.told = 0
+        self.roster_version = 0
         self.names = [name]
         self.address = ("127.0.0.1", 0)
         self.server: HttpServer | None = None
@@ -183,21 +183,23 @@
             await probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
         address = f"{self.address[0]}:{self.address[1]}"
-        limits = self.world.steering.catalog
+        catalog = self.world.steering.catalog
         self.server = HttpServer(
             address, self.forwarder.serve, lambda: self.world.steering.catalog.limits
         )
-        assert limits.is_empty
+        assert catalog.is_empty
         self.nursery.start_soon(self.suspects.run)
         await self.nursery.start(self.server.run)
 
-    def tell(self, upstreams=(), gateways=("g1",), **fields) -> None:
-        self.told += 1
+    def apply_feed(self, upstreams=(), gateways=("g1",), **fields) -> None:
+        self.roster_version += 1
         feed = Feed(
             life="l",
             order=0,
             image=self.steering.image(),
-            roster=Roster(version=self.told, serving=[GatewayPeer(name, "") for name in gateways]),
+            roster=Roster(
+                version=self.roster_version, serving=[GatewayPeer(name, "") for name in gateways]
+            ),
             upstreams=[HeardUpstream(registration, 0.0) for registration in upstreams],
             age=0.0,
             **fields,
@@ -232,13 +234,13 @@
         return Caller(await trio.open_tcp_stream(*self.address))
 
 
-TOLD_EVERY_S = 0.3
+FEED_INTERVAL_S = 0.3
 
 
 @asynccontextmanager
-async def fellows(count: int, *upstreams: Upstream):
-    """Run gateways that are told of each other, `g1` and so on, with one route to the upstreams."""
-    with trio.fail_after(PATIENCE_S * 4):
+async def peer_gateways(count: int, *upstreams: Upstream):
+    """Run gateways `g1`, `g2`, ... that know each other, with one route to the upstreams."""
+    with trio.fail_after(TEST_TIMEOUT_S * 4):
         async with trio.open_nursery() as nursery:
             subjects = [
                 GatewayUnderTest(nursery, Bounds(), f"g{number + 1}") for number in range(count)
@@ -246,17 +248,17 @@
             for upstream in upstreams:
                 await nursery.start(upstream.run)
             for subject in subjects:
-                subject.names = [fellow.name for fellow in subjects]
+                subject.names = [peer.name for peer in subjects]
                 await subject.start()
                 subject.configure()
-            nursery.start_soon(_tell_all, subjects, upstreams)
+            nursery.start_soon(_feed_all, subjects, upstreams)
             await trio.sleep(0.05)
             yield subjects
             nursery.cancel_scope.cancel()
 
 
-async def _tell_all(subjects: list[GatewayUnderTest], upstreams: tuple[Upstream, ...]) -> None:
-    """Tell all gateways again and again what replicas would tell them."""
+async def _feed_all(subjects: list[GatewayUnderTest], upstreams: tuple[Upstream, ...]) -> None:
+    """Feed all gateways periodically, as replicas would, including the limits of upstreams."""
     registrations = [upstream.registration() for upstream in upstreams]
     news = LimitNews()
     known = dict.fromkeys(subjects, LimitsKnown())
@@ -265,24 +267,24 @@
         for subject in subjects:
             news.learn(subject.table.limits.told(), now)
         for subject in subjects:
-            heard = news.since(known[subject], now)
-            if heard is not None:
-                known[subject] = heard.known
-            subject.tell(registrations, subject.names, limits=heard)
-        await trio.sleep(TOLD_EVERY_S)
+            update = news.since(known[subject], now)
+            if update is not None:
+                known[subject] = update.known
+            subject.apply_feed(registrations, subject.names, limits=update)
+        await trio.sleep(FEED_INTERVAL_S)
 
 
 @asynccontextmanager
 async def gateway(*upstreams: Upstream, bounds: Bounds | None = None, **route):
-    """Run a gateway with one route to the given upstreams."""
-    with trio.fail_after(PATIENCE_S * 4):
+    """Run one gateway with one route to the given upstreams."""
+    with trio.fail_after(TEST_TIMEOUT_S * 4):
         async with trio.open_nursery() as nursery:
             subject = GatewayUnderTest(nursery, bounds or Bounds())
             for upstream in upstreams:
                 await nursery.start(upstream.run)
             await subject.start()
             subject.configure(**route)
-            subject.tell([upstream.registration() for upstream in upstreams])
+            subject.apply_feed([upstream.registration() for upstream in upstreams])
             yield subject
             nursery.cancel_scope.cancel()
 
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What callers and upstreams see of a gateway, with upstreams that fail in each way."""
+"""What callers and upstreams see of a gateway whose upstreams fail in various ways."""
 
 import functools
 import struct
@@ -9,7 +9,7 @@
 from finchway.catalog import Limits, RouteType
 from finchway.registry import MarkKind
 from finchway.state import MarkUpstream, SetEvacuation
-from tests.gateway.harness import NAMES, Upstream, answer, gateway, header_of, serve_well
+from tests.gateway.harness import NAMES, Upstream, answer, gateway, header_of, serve_ok
 
 
 def on_trio(test):
@@ -26,11 +26,11 @@
 
 
 def refuse_once_with(load):
-    """Refuse the first request and tell a load; serve the rest."""
+    """Return a script that refuses the first request with a load report and serves the rest."""
 
     async def script(upstream, stream, request):
         if len(upstream.requests) > 1:
-            await serve_well(upstream, stream, request)
+            await serve_ok(upstream, stream, request)
             return
         extra = NAMES.not_executed + b": 1\r\n" + NAMES.load + b": " + load + b"\r\n"
         await stream.send_all(answer(request, b"", b"503 Full", extra))
@@ -38,7 +38,7 @@
     return script
 
 
-async def other_instance(upstream, stream, request):
+async def misdirect(upstream, stream, request):
     await stream.send_all(answer(request, b"", b"421 Misdirected"))
 
 
@@ -73,11 +73,11 @@
 
 
 @on_trio
-async def test_a_request_arrives_unaltered_and_its_answer_too():
-    upstream = Upstream("i-1", serve_well)
+async def test_request_and_answer_are_forwarded_unaltered():
+    upstream = Upstream("i-1", serve_ok)
     async with gateway(upstream) as subject:
         caller = await subject.connect()
-        status, head, body = await caller.ask(b"POST", b"/x/1?q=%20", b"payload")
+        status, head, body = await caller.request(b"POST", b"/x/1?q=%20", b"payload")
         assert (status, body) == (200, b"i-1")
         assert header_of(head, NAMES.signature) == b"signed"
         request = upstream.requests[0]
@@ -90,33 +90,33 @@
 
 
 @on_trio
-async def test_connections_are_kept_on_both_sides():
-    upstream = Upstream("i-1", serve_well)
+async def test_connections_are_reused_on_both_sides():
+    upstream = Upstream("i-1", serve_ok)
     async with gateway(upstream) as subject:
         caller = await subject.connect()
         for number in range(5):
             identity = str(number).encode()
-            status, head, _ = await caller.ask(request_id=identity)
+            status, head, _ = await caller.request(request_id=identity)
             assert status == 200
             assert header_of(head, NAMES.request_id) == identity
         assert upstream.connections == 1
 
 
 @on_trio
-async def test_without_a_configuration_the_answer_is_503_never_404():
+async def test_missing_configuration_is_503():
     async with gateway() as subject:
         subject.world.__init__()
-        status, head, _ = await (await subject.connect()).ask()
+        status, head, _ = await (await subject.connect()).request()
         assert status == 503
         assert float(header_of(head, b"retry-after")) > 0
 
 
 @on_trio
-async def test_refused_callers_are_told_different_times_to_come_back():
+async def test_retry_after_is_jittered():
     async with gateway() as subject:
         times = set()
         for _ in range(20):
-            status, head, _ = await (await subject.connect()).ask()
+            status, head, _ = await (await subject.connect()).request()
             assert status == 503
             times.add(float(header_of(head, b"retry-after")))
         assert len(times) > 10
@@ -125,54 +125,53 @@
 
 
 @on_trio
-async def test_a_path_without_a_route_is_404():
-    async with gateway(Upstream("i-1", serve_well)) as subject:
-        assert (await (await subject.connect()).ask(path=b"/other"))[0] == 404
+async def test_path_without_a_route_is_404():
+    async with gateway(Upstream("i-1", serve_ok)) as subject:
+        assert (await (await subject.connect()).request(path=b"/other"))[0] == 404
 
 
 @pytest.mark.parametrize(
-    ("load", "status", "asked"), [(b"1,0,4", 200, [0, 2]), (b"4,3,4", 503, [1, 1])]
+    ("load", "status", "received"), [(b"1,0,4", 200, [0, 2]), (b"4,3,4", 503, [1, 1])]
 )
 @on_trio
-async def test_an_upstream_that_refuses_although_it_has_room_is_asked_again(load, status, asked):
-    # Brazos scale-1, 13 s to 21 s: upstreams refused half of all with free slots; the repeats went
-    # where the key was not known, and were late.
+async def test_refusal_with_free_slots_is_retried_at_the_same_upstream(load, status, received):
+    # A retry elsewhere would reach an upstream for which the key is cold.
     upstreams = [Upstream(f"i-{n}", refuse_once_with(load)) for n in (1, 2)]
     async with gateway(*upstreams) as subject:
         caller = await subject.connect()
-        assert (await caller.ask(b"GET"))[0] == status
-    assert sorted(len(upstream.requests) for upstream in upstreams) == asked
+        assert (await caller.request(b"GET"))[0] == status
+    assert sorted(len(upstream.requests) for upstream in upstreams) == received
 
 
-@pytest.mark.parametrize("script", [refuse, other_instance])
+@pytest.mark.parametrize("script", [refuse, misdirect])
 @on_trio
-async def test_a_refused_request_that_may_not_repeat_goes_elsewhere(script):
-    bad, good = Upstream("i-1", script), Upstream("i-2", serve_well)
+async def test_refused_unsafe_request_goes_to_another_upstream(script):
+    bad, good = Upstream("i-1", script), Upstream("i-2", serve_ok)
     async with gateway(bad, good, type=RouteType.UNSAFE) as subject:
         for number in range(20):
             key = str(number).encode()
             caller = await subject.connect()
-            status, _, body = await caller.ask(b"POST", body=b"x", affinity_key=key)
+            status, _, body = await caller.request(b"POST", body=b"x", affinity_key=key)
             assert (status, body) == (200, b"i-2")
         assert bad.requests
 
 
 @pytest.mark.parametrize("script", [break_off, reset, garbage])
 @on_trio
-async def test_a_safe_request_is_tried_again_after_a_broken_answer(script):
-    bad, good = Upstream("i-1", script), Upstream("i-2", serve_well)
+async def test_safe_request_is_retried_after_a_broken_answer(script):
+    bad, good = Upstream("i-1", script), Upstream("i-2", serve_ok)
     async with gateway(bad, good) as subject:
         for number in range(8):
             caller = await subject.connect()
-            status, _, body = await caller.ask(affinity_key=str(number).encode())
+            status, _, body = await caller.request(affinity_key=str(number).encode())
             assert (status, body) == (200, b"i-2")
         assert bad.requests
 
 
 @pytest.mark.parametrize("script", [break_off, reset, garbage])
 @on_trio
-async def test_a_refused_repeat_does_not_hide_that_the_first_attempt_may_have_run(script):
-    # Soak seeds 101 and 103: a 503 said "not run" of requests that back ends had run.
+async def test_refused_retry_does_not_hide_that_the_first_attempt_may_have_run(script):
+    # A 503 would state that the request did not run.
     first, second = Upstream("i-1", script), Upstream("i-2", refuse)
     async with gateway(first, second) as subject:
         seen = set()
@@ -181,7 +180,7 @@
             subject.table.get("i-2").note_success()
             ran = len(first.requests)
             caller = await subject.connect()
-            status, _, _ = await caller.ask(affinity_key=str(number).encode())
+            status, _, _ = await caller.request(affinity_key=str(number).encode())
             assert status == (502 if len(first.requests) > ran else 503)
             seen.add(status)
         assert 502 in seen
@@ -189,36 +188,36 @@
 
 @pytest.mark.parametrize("script", [break_off, reset, garbage])
 @on_trio
-async def test_an_unsafe_request_that_may_have_run_is_never_sent_again(script):
+async def test_unsafe_request_that_may_have_run_is_not_retried(script):
     bad = [Upstream("i-1", script), Upstream("i-2", script)]
     async with gateway(*bad, type=RouteType.UNSAFE) as subject:
-        status, head, _ = await (await subject.connect()).ask(b"POST", body=b"x")
+        status, head, _ = await (await subject.connect()).request(b"POST", body=b"x")
         assert status == 502
         assert header_of(head, NAMES.signature) is None
         assert sum(len(upstream.requests) for upstream in bad) == 1
 
 
 @on_trio
-async def test_attempts_stay_within_the_routes_bound():
+async def test_attempts_stay_within_the_routes_maximum():
     bad = [Upstream(f"i-{n}", refuse) for n in range(4)]
     async with gateway(*bad) as subject:
-        status, head, _ = await (await subject.connect()).ask()
+        status, head, _ = await (await subject.connect()).request()
         assert status == 503
         assert header_of(head, b"retry-after") is not None
         assert sum(len(upstream.requests) for upstream in bad) == 2
 
 
 @on_trio
-async def test_the_route_time_ends_a_request_with_504_and_cancels_its_work():
+async def test_route_timeout_is_504_and_cancels_the_request():
     upstream = Upstream("i-1", silent)
     async with gateway(upstream, timeout=0.2) as subject:
-        status, _, _ = await (await subject.connect()).ask()
+        status, _, _ = await (await subject.connect()).request()
         assert status == 504
         assert int(header_of(upstream.requests[0], NAMES.deadline_ms)) <= 200
 
 
 @on_trio
-async def test_a_caller_that_leaves_cancels_its_work():
+async def test_caller_disconnect_cancels_the_request():
     seen = trio.Event()
 
     async def wait(upstream, stream, request):
@@ -233,49 +232,49 @@
         await seen.wait()
         await caller.stream.aclose()
         await upstream.ended.wait()
-        assert subject.forwarder.in_flight == 0 or await until(subject)
+        assert subject.forwarder.in_flight == 0 or await wait_until_idle(subject)
 
 
-async def until(subject):
+async def wait_until_idle(subject):
     while subject.forwarder.in_flight:
         await trio.sleep(0.01)
     return True
 
 
 @on_trio
-async def test_an_answer_without_a_length_is_whole_when_its_connection_ends():
+async def test_answer_without_a_length_ends_with_its_connection():
     async with gateway(Upstream("i-1", unframed)) as subject:
-        status, head, body = await (await subject.connect()).ask()
+        status, head, body = await (await subject.connect()).request()
         assert (status, body) == (200, b"whole")
         assert header_of(head, b"content-length") == b"5"
 
 
 @on_trio
-async def test_a_surplus_answer_reaches_nobody():
+async def test_surplus_answer_is_never_forwarded():
     upstream = Upstream("i-1", twice)
     async with gateway(upstream) as subject:
         caller = await subject.connect()
         for number in range(6):
             identity = f"id-{number}".encode()
-            status, head, _ = await caller.ask(request_id=identity)
+            status, head, _ = await caller.request(request_id=identity)
             assert status == 200
             assert header_of(head, NAMES.request_id) == identity
 
 
 @on_trio
-async def test_a_late_surplus_answer_is_passed_over_by_its_id():
+async def test_stray_answer_is_skipped_by_its_request_id():
     async def stray_first(upstream, stream, request):
         stray = answer(request.replace(b"id-", b"other-"), b"stray")
         await stream.send_all(stray + answer(request, b"mine"))
 
     async with gateway(Upstream("i-1", stray_first), type=RouteType.UNSAFE) as subject:
-        status, head, body = await (await subject.connect()).ask(b"POST", body=b"x")
+        status, head, body = await (await subject.connect()).request(b"POST", body=b"x")
         assert (status, body) == (200, b"mine")
         assert header_of(head, NAMES.request_id) == b"id-1"
 
 
 @on_trio
-async def test_an_early_answer_ends_its_connection_and_the_next_body_is_clean():
+async def test_early_answer_closes_the_upstream_connection():
     async def early(upstream, stream, request):
         await stream.send_all(answer(request))
 
@@ -295,50 +294,50 @@
     upstream = Early("i-1", early)
     async with gateway(upstream, type=RouteType.UPLOAD) as subject:
         body = b"y" * 900_000
-        assert (await (await subject.connect()).ask(b"POST", body=body))[0] == 413
-        assert (await (await subject.connect()).ask(b"POST", body=body))[0] == 413
+        assert (await (await subject.connect()).request(b"POST", body=body))[0] == 413
+        assert (await (await subject.connect()).request(b"POST", body=body))[0] == 413
         assert upstream.connections == 2
 
 
 @on_trio
-async def test_a_long_answer_is_streamed_and_a_cut_one_does_not_look_whole():
-    async def long(upstream, stream, request):
+async def test_long_answer_is_streamed_and_a_truncated_one_ends_the_connection():
+    async def answer_long(upstream, stream, request):
         await stream.send_all(answer(request, b"z" * 1_000_000))
 
-    async def cut(upstream, stream, request):
+    async def answer_truncated(upstream, stream, request):
         await stream.send_all(answer(request, b"z" * 1_000_000)[:-10])
         return False
 
-    async with gateway(Upstream("i-1", long)) as subject:
-        status, _, body = await (await subject.connect()).ask()
+    async with gateway(Upstream("i-1", answer_long)) as subject:
+        status, _, body = await (await subject.connect()).request()
         assert (status, len(body)) == (200, 1_000_000)
-    async with gateway(Upstream("i-1", cut)) as subject:
-        assert await (await subject.connect()).ask() is None
+    async with gateway(Upstream("i-1", answer_truncated)) as subject:
+        assert await (await subject.connect()).request() is None
 
 
 @on_trio
-async def test_a_body_longer_than_the_buffer_is_streamed():
-    upstream = Upstream("i-1", serve_well)
+async def test_body_longer_than_the_buffer_is_streamed():
+    upstream = Upstream("i-1", serve_ok)
     async with gateway(upstream, type=RouteType.UPLOAD) as subject:
         body = b"y" * 3_000_000
-        status, _, _ = await (await subject.connect()).ask(b"POST", body=body)
+        status, _, _ = await (await subject.connect()).request(b"POST", body=body)
         assert status == 200
         assert upstream.requests[0].endswith(body)
 
 
 @on_trio
-async def test_a_body_over_the_limit_is_413():
-    async with gateway(Upstream("i-1", serve_well), limits=Limits(body_bytes=100)) as subject:
-        assert (await (await subject.connect()).ask(b"POST", body=b"x" * 101))[0] == 413
+async def test_body_over_the_limit_is_413():
+    async with gateway(Upstream("i-1", serve_ok), limits=Limits(body_bytes=100)) as subject:
+        assert (await (await subject.connect()).request(b"POST", body=b"x" * 101))[0] == 413
 
 
 @pytest.mark.parametrize(
     "sent", [b"GET /x/1 HT", b"POST /x/1 HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nx"]
 )
 @on_trio
-async def test_a_request_that_stalls_is_408_and_its_connection_ends(sent):
+async def test_stalled_request_is_408_and_closes_its_connection(sent):
     limits = Limits(header_timeout=0.2, idle_timeout=0.4)
-    async with gateway(Upstream("i-1", serve_well), limits=limits) as subject:
+    async with gateway(Upstream("i-1", serve_ok), limits=limits) as subject:
         caller = await subject.connect()
         await caller.stream.send_all(sent)
         assert (await caller.receive())[0] == 408
@@ -346,36 +345,36 @@
 
 
 @on_trio
-async def test_marked_and_evacuated_upstreams_get_nothing_new():
+async def test_draining_and_evacuated_upstreams_get_no_new_requests():
     leaving, far, good = (
-        Upstream("i-1", serve_well),
-        Upstream("i-2", serve_well, zone="south-a"),
-        Upstream("i-3", serve_well),
+        Upstream("i-1", serve_ok),
+        Upstream("i-2", serve_ok, zone="south-a"),
+        Upstream("i-3", serve_ok),
     )
     async with gateway(leaving, far, good) as subject:
         subject.steering.mark_upstream(
             MarkUpstream(now_ms=0, instance="i-1", kind=MarkKind.DRAINING)
         )
         subject.steering.set_evacuation(SetEvacuation(now_ms=0, zone="south-a", active=True))
-        subject.tell()
+        subject.apply_feed()
         for number in range(20):
             caller = await subject.connect()
-            _, _, body = await caller.ask(affinity_key=str(number).encode())
+            _, _, body = await caller.request(affinity_key=str(number).encode())
             assert body == b"i-3"
 
 
 @on_trio
-async def test_only_one_gateway_sends_to_a_cold_upstream_and_slowly():
-    cold = Upstream("i-1", serve_well, cold_for=30.0)
+async def test_cold_upstream_gets_few_requests_from_one_gateway():
+    cold = Upstream("i-1", serve_ok, cold_for=30.0)
     async with gateway(cold) as subject:
-        subject.tell(gateways=("g1",))
-        statuses = [(await (await subject.connect()).ask())[0] for _ in range(30)]
+        subject.apply_feed(gateways=("g1",))
+        statuses = [(await (await subject.connect()).request())[0] for _ in range(30)]
         assert 1 <= statuses.count(200) <= 5
         others = [f"h{n}" for n in range(40)]
-        subject.tell(gateways=("g1", *others))
+        subject.apply_feed(gateways=("g1", *others))
         before = len(cold.requests)
         for _ in range(10):
-            await (await subject.connect()).ask()
+            await (await subject.connect()).request()
         assert len(cold.requests) == before
 
 
@@ -383,7 +382,7 @@
 async def test_weights_divide_requests_exactly():
     from finchway.catalog import Backend
 
-    one, two = Upstream("i-1", serve_well), Upstream("i-2", serve_well, service="t")
+    one, two = Upstream("i-1", serve_ok), Upstream("i-2", serve_ok, service="t")
     async with gateway(one, two) as subject:
         from finchway.catalog import Item, ItemKind, ServiceSpec
         from finchway.state import ChangeItems
@@ -391,15 +390,15 @@
         item = Item(kind=ItemKind.SERVICE, name="t", version=1, spec=ServiceSpec())
         subject.steering.change_items(ChangeItems(now_ms=0, items=[item]))
         subject.configure(2, backends=(Backend("s", 90), Backend("t", 10)))
-        subject.tell()
+        subject.apply_feed()
         caller = await subject.connect()
         for _ in range(100):
-            await caller.ask()
+            await caller.request()
         assert (len(one.requests), len(two.requests)) == (90, 10)
 
 
 @on_trio
-async def test_a_gateways_part_of_an_upstream_is_strict_until_answers_come_in_time():
+async def test_slot_share_of_a_gateway_is_strict_until_answers_are_fast():
     held = trio.Event()
 
     async def hold(upstream, stream, request):
@@ -408,30 +407,30 @@
         await stream.send_all(answer(request))
 
     async with gateway(Upstream("i-1", hold, slots=6)) as subject:
-        subject.tell(gateways=("g1", "h1", "h2"))
+        subject.apply_feed(gateways=("g1", "h1", "h2"))
 
-        async def third_while_two_run():
+        async def third_status_while_two_run():
             first, second, third = [await subject.connect() for _ in range(3)]
             await first.send(path=b"/x/hold")
             await second.send(path=b"/x/hold")
             while subject.table.get("i-1").in_flight < 2:
                 await trio.sleep(0.01)
-            status, _, _ = await third.ask()
+            status, _, _ = await third.request()
             held.set()
             await first.receive()
             await second.receive()
             return status
 
-        assert await third_while_two_run() == 503
+        assert await third_status_while_two_run() == 503
         caller = await subject.connect()
         for _ in range(100):
-            assert (await caller.ask())[0] == 200
+            assert (await caller.request())[0] == 200
         held = trio.Event()
-        assert await third_while_two_run() == 200
+        assert await third_status_while_two_run() == 200
 
 
 @on_trio
-async def test_a_stop_finishes_what_runs_and_ends_idle_connections():
+async def test_stop_finishes_running_requests_and_closes_idle_connections():
     release = trio.Event()
 
     async def wait(upstream, stream, request):
@@ -456,7 +455,7 @@
 
 @pytest.mark.parametrize("deadline", [b"nan", b"inf", b"-inf", b"soon"])
 @on_trio
-async def test_a_malformed_deadline_is_400(deadline):
-    async with gateway(Upstream("i-1", serve_well)) as subject:
-        status, _, _ = await (await subject.connect()).ask(deadline_ms=deadline)
+async def test_malformed_deadline_is_400(deadline):
+    async with gateway(Upstream("i-1", serve_ok)) as subject:
+        status, _, _ = await (await subject.connect()).request(deadline_ms=deadline)
         assert status == 400
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_graceful_stop.py
@@ -1,7 +1,7 @@
-"""A planned stop answers each request that a caller had sent before it, wherever the request lies.
+"""A graceful stop answers every request that was sent before it.
 
-Connections that the kernel has completed and nobody has accepted, accepted ones that have not
-begun, and requests that lie unread in a socket or are half there: none of them is idle.
+Connections in the listen queue, accepted ones without a request yet and those with an unread or
+partial request are not idle.
 """
 
 import random
@@ -15,12 +15,12 @@
 
 REQUEST = b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
 SERVE_S = 0.01
-# More checkpoints than a connection needs from the kernel's queue to its first read.
-MOMENTS = 12
+# Exceeds the checkpoints between a connection's arrival in the listen queue and its first read.
+MAX_CHECKPOINTS = 12
 
 
 class Server:
-    """A server in this process whose requests take a moment each."""
+    """A server in this process whose requests take a short time."""
 
     def __init__(self) -> None:
         self.address = f"127.0.0.1:{free_ports(1)[0]}"
@@ -36,7 +36,7 @@
         await connection.send_whole(200, b"OK", [(b"Content-Length", b"2")], b"ok")
 
     def connect(self) -> socket.socket:
-        """Connect as a caller does; the kernel completes it whatever the server does meanwhile."""
+        """Connect as a caller; the kernel completes the connection without the server."""
         host, _, port = self.address.rpartition(":")
         caller = socket.create_connection((host, int(port)))
         caller.setblocking(False)
@@ -44,7 +44,7 @@
 
 
 async def read_answer(caller: socket.socket) -> bytes:
-    """Return all that comes until the connection ends; what came before a reset counts."""
+    """Return all data until the connection ends, including data received before a reset."""
     data = b""
     stream = trio.SocketStream(trio.socket.from_stdlib_socket(caller))
     with trio.fail_after(5.0):
@@ -56,7 +56,7 @@
     return data
 
 
-def play(action) -> None:
+def run_with_server(action) -> None:
     """Run an action beside a server."""
 
     async def run() -> None:
@@ -69,7 +69,7 @@
     trio.run(run)
 
 
-async def checkpoints(count: int) -> None:
+async def pass_checkpoints(count: int) -> None:
     for _ in range(count):
         await trio.lowlevel.checkpoint()
 
@@ -78,19 +78,17 @@
     return answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"ok")
 
 
-@pytest.mark.parametrize("moment", range(MOMENTS))
+@pytest.mark.parametrize("steps", range(MAX_CHECKPOINTS))
 @pytest.mark.parametrize("callers", [1, 5])
-def test_a_request_on_a_new_connection_is_answered_in_whatever_moment_the_stop_comes(
-    callers, moment
-):
-    """The callers connect and send, and the stop comes so many steps of the server later."""
+def test_request_on_a_new_connection_is_answered_whenever_the_stop_begins(callers, steps):
+    """The stop begins some checkpoints after the callers have connected and sent."""
 
     async def action(server: Server) -> None:
         server.may_answer = trio.Event()
         sockets = [server.connect() for _ in range(callers)]
         for caller in sockets:
             caller.send(REQUEST)
-        await checkpoints(moment)
+        await pass_checkpoints(steps)
         server.may_answer.set()
         await server.http.stop()
         assert server.http.connections == 0
@@ -98,12 +96,12 @@
             answer = await read_answer(caller)
             assert is_whole(answer) and b"connection: close" in answer.lower()
 
-    play(action)
+    run_with_server(action)
 
 
-@pytest.mark.parametrize("moment", range(MOMENTS))
-def test_a_request_on_a_kept_connection_is_answered_in_whatever_moment_the_stop_comes(moment):
-    """A second request is sent on a connection that was idle, so many steps before the stop."""
+@pytest.mark.parametrize("steps", range(MAX_CHECKPOINTS))
+def test_request_on_a_reused_connection_is_answered_whenever_the_stop_begins(steps):
+    """A second request is sent on an idle connection some checkpoints before the stop."""
 
     async def action(server: Server) -> None:
         caller = server.connect()
@@ -113,32 +111,32 @@
         await trio.sleep(5 * SERVE_S)
         assert is_whole(caller.recv(1000))
         caller.send(REQUEST)
-        await checkpoints(moment)
+        await pass_checkpoints(steps)
         await server.http.stop()
         assert is_whole(await read_answer(caller))
 
-    play(action)
+    run_with_server(action)
 
 
-@pytest.mark.parametrize("seen", range(1, len(REQUEST)))
-def test_a_request_of_which_a_part_has_come_is_read_to_its_end(seen):
-    """The rest of the request comes after the stop has begun."""
+@pytest.mark.parametrize("received", range(1, len(REQUEST)))
+def test_partially_received_request_is_read_to_its_end(received):
+    """The rest of the request arrives after the stop has begun."""
 
     async def action(server: Server) -> None:
         caller = server.connect()
-        caller.send(REQUEST[:seen])
+        caller.send(REQUEST[:received])
         await trio.sleep(0.005)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.http.stop)
             await trio.sleep(0.005)
-            caller.send(REQUEST[seen:])
+            caller.send(REQUEST[received:])
             assert is_whole(await read_answer(caller))
 
-    play(action)
+    run_with_server(action)
 
 
-def test_a_caller_that_has_just_connected_has_a_moment_to_send_its_request():
-    """The connection is there before the stop, its request comes a little later."""
+def test_new_connection_gets_time_to_send_its_request():
+    """The connection is open before the stop; its request arrives shortly after."""
 
     async def action(server: Server) -> None:
         caller = server.connect()
@@ -148,11 +146,11 @@
             caller.send(REQUEST)
             assert is_whole(await read_answer(caller))
 
-    play(action)
+    run_with_server(action)
 
 
-def test_connections_that_ask_nothing_hold_up_no_stop():
-    """One was used and is idle, one has never sent anything."""
+def test_idle_connections_do_not_delay_a_stop():
+    """One connection was used and is idle, the other has never sent anything."""
 
     async def action(server: Server) -> None:
         used, silent = server.connect(), server.connect()
@@ -163,10 +161,10 @@
         assert is_whole(await read_answer(used))
         assert await read_answer(silent) == b""
 
-    play(action)
+    run_with_server(action)
 
 
-def test_no_new_connection_is_taken_once_a_stop_has_begun():
+def test_no_connection_is_accepted_once_a_stop_has_begun():
     async def action(server: Server) -> None:
         caller = server.connect()
         caller.send(REQUEST)
@@ -177,18 +175,18 @@
                 server.connect()
             assert is_whole(await read_answer(caller))
 
-    play(action)
+    run_with_server(action)
 
 
-def test_an_answer_that_is_being_sent_as_the_server_leaves_does_not_end_its_connection_unsaid():
-    """Its head went out without `Connection: close`, so the caller may send another request."""
+def test_connection_stays_open_after_an_answer_without_connection_close():
+    """Its head was sent without `Connection: close`, so the caller may send another request."""
 
     async def action(server: Server) -> None:
-        head_is_out, may_end = trio.Event(), trio.Event()
+        head_sent, may_end = trio.Event(), trio.Event()
 
         async def serve(connection: CallerConnection, request: CallerRequest) -> None:
             await connection.send_head(200, b"OK", [(b"Content-Length", b"2")])
-            head_is_out.set()
+            head_sent.set()
             await may_end.wait()
             await connection.send_part(b"ok")
             await connection.send_end()
@@ -196,7 +194,7 @@
         server.http._serve = serve
         caller = server.connect()
         caller.send(REQUEST)
-        await head_is_out.wait()
+        await head_sent.wait()
         server.http.leave()
         may_end.set()
         await trio.sleep(0.01)
@@ -205,16 +203,16 @@
         answer = await read_answer(caller)
         assert is_whole(answer) and b"connection: close" in answer.lower()
 
-    play(action)
+    run_with_server(action)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_stops_at_random_moments_cut_off_no_request_that_was_sent_before(seed):
-    """Twelve callers connect, send and come again; the stop comes amid them."""
+def test_stop_at_a_random_time_drops_no_request(seed):
+    """The stop begins while twelve callers connect and send repeatedly."""
     rng = random.Random(seed)
     answers: list[bytes] = []
 
-    async def ask(server: Server, stopped: trio.Event) -> None:
+    async def send_request(server: Server, stopped: trio.Event) -> None:
         while not stopped.is_set():
             await trio.sleep(rng.random() * 0.003)
             if stopped.is_set():
@@ -235,11 +233,11 @@
         stopped = trio.Event()
         async with trio.open_nursery() as nursery:
             for _ in range(12):
-                nursery.start_soon(ask, server, stopped)
+                nursery.start_soon(send_request, server, stopped)
             await trio.sleep(0.02 + rng.random() * 0.01)
             stopped.set()
             await server.http.stop()
 
-    play(action)
+    run_with_server(action)
     assert answers
     assert all(is_whole(answer) for answer in answers)
--- a/tests/gateway/test_odd_headers.py
+++ b/tests/gateway/test_malformed_headers.py
@@ -1,7 +1,6 @@
-"""Headers of upstreams that look like numbers and are none.
+"""Malformed numbers in upstream headers must not fail the request.
 
-An upstream's load of "²,0" ended the request that it had answered without an answer: the sign
-counts as a digit, and is no number. So did a `Keep-Alive` of that kind, and a load of 5,000 digits.
+Superscript digits, for example, satisfy `str.isdigit` but not `int`.
 """
 
 import itertools
@@ -10,7 +9,7 @@
 
 from tests.gateway.harness import NAMES, Upstream, answer, gateway, header_of
 
-ODD = ("²", "9" * 5_000, "-1", "1.5", "nan", "", "1,2", "0x10")
+MALFORMED = ("²", "9" * 5_000, "-1", "1.5", "nan", "", "1,2", "0x10")
 
 
 HEADERS = (
@@ -20,20 +19,20 @@
 )
 
 
-def test_an_answer_with_an_odd_header_is_passed_on():
-    cases = list(itertools.product(HEADERS, ODD))
+def test_answer_with_a_malformed_header_is_forwarded():
+    cases = list(itertools.product(HEADERS, MALFORMED))
 
     async def serve(upstream, stream, request):
         number = int(header_of(request, NAMES.request_id))
-        header, odd = cases[number]
-        await stream.send_all(answer(request, b"hello", extra=header % odd.encode("latin-1")))
+        header, value = cases[number]
+        await stream.send_all(answer(request, b"hello", extra=header % value.encode("latin-1")))
 
     async def check():
         unanswered = []
         async with gateway(Upstream("i-1", serve)) as subject:
             for number, case in enumerate(cases):
                 caller = await subject.connect()
-                got = await caller.ask(request_id=b"%d" % number)
+                got = await caller.request(request_id=b"%d" % number)
                 if got is None or (got[0], got[2]) != (200, b"hello"):
                     unanswered.append(case)
         assert unanswered == []
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -1,4 +1,4 @@
-"""A gateway's routing decisions, from beliefs that the test sets; no sockets."""
+"""A gateway's routing decisions on a scripted configuration, without sockets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}
 
 
-def upstream(instance, zone, slots=6):
+def registration(instance, zone, slots=6):
     return Registration(
         instance=instance,
         address="127.0.0.1:1",
@@ -35,8 +35,8 @@
     )
 
 
-class Subject:
-    """A router in zone north-a and what it believes; must be used within a trio run."""
+class RouterUnderTest:
+    """A router in zone north-a with scripted inputs; must be used within a trio run."""
 
     def __init__(self, upstreams, demand=None, target_latency=0.3, gateways=("g1",), zones=ZONES):
         spec = {"backends": (Backend("s", 1.0),), "timeout": 2.0, "max_attempts": 2}
@@ -74,7 +74,7 @@
         self.router = Router("north-a", lambda: zones, self.world, self.table, Bounds())
 
     def lines(self, event):
-        """Return the log lines of one kind that were written since the last call."""
+        """Return the log lines of one event that were written since the last call."""
         data = b""
         while part := self.writer._take():
             data += part
@@ -87,7 +87,7 @@
         return Task(request, "r", self.route, "s", f"id-{key}", str(key), now + 2.0, tried=set())
 
     def zones_of(self, keys):
-        """Return the zones that requests with these keys go to; None for a refusal."""
+        """Return the zones that requests with these keys are sent to; None for a refusal."""
         chosen = []
         for key in keys:
             task = self.task(key)
@@ -105,14 +105,14 @@
     return test
 
 
-def a_small_and_a_large_region():
-    return [upstream(f"n{n}", "north-a") for n in range(2)] + [
-        upstream(f"s{n}", "south-a") for n in range(20)
+def small_and_large_region():
+    return [registration(f"n{n}", "north-a") for n in range(2)] + [
+        registration(f"s{n}", "south-a") for n in range(20)
     ]
 
 
-async def passed_on_after(subject, seconds):
-    """Return the part of requests that go south once some time has gone by."""
+async def remote_fraction_after(subject, seconds):
+    """Return the fraction of requests sent south after some seconds of load."""
     until = trio.current_time() + seconds
     while trio.current_time() < until:
         subject.zones_of(range(20))
@@ -121,35 +121,34 @@
 
 
 @on_virtual_time
-async def test_a_small_region_passes_on_what_slow_work_leaves_no_room_for():
-    # Two upstreams bear 12 x 0.7 / 1.2 = 7 requests a second of the 14 that are asked.
+async def test_small_region_sends_away_requests_beyond_its_capacity():
+    # Two upstreams can serve 12 x 0.7 / 1.2 = 7 of the 14 requests per second.
     demand = {"north": 14.0, "south": 10.0}
-    subject = Subject(a_small_and_a_large_region(), demand, target_latency=1.2)
-    assert 0.4 <= await passed_on_after(subject, 20.0) <= 0.6
+    subject = RouterUnderTest(small_and_large_region(), demand, target_latency=1.2)
+    assert 0.4 <= await remote_fraction_after(subject, 20.0) <= 0.6
 
 
 @on_virtual_time
-async def test_a_small_region_keeps_what_quick_work_leaves_room_for():
+async def test_small_region_keeps_requests_within_its_capacity():
     demand = {"north": 14.0, "south": 10.0}
-    subject = Subject(a_small_and_a_large_region(), demand, target_latency=0.3)
-    assert await passed_on_after(subject, 40.0) == 0.0
+    subject = RouterUnderTest(small_and_large_region(), demand, target_latency=0.3)
+    assert await remote_fraction_after(subject, 40.0) == 0.0
 
 
 @on_virtual_time
-async def test_until_demand_has_stopped_growing_it_is_taken_as_even():
-    # The first reports come from few gateways; a plan by them would keep everything at home, and
-    # a tenth of the slots would get half of the requests for many seconds.
-    subject = Subject(a_small_and_a_large_region(), {"north": 0.5}, target_latency=0.3)
-    assert 0.7 <= await passed_on_after(subject, 1.0) <= 0.85
+async def test_growing_demand_is_assumed_to_be_even():
+    # The first reports come from few gateways; a plan based on them overloads the small region.
+    subject = RouterUnderTest(small_and_large_region(), {"north": 0.5}, target_latency=0.3)
+    assert 0.7 <= await remote_fraction_after(subject, 1.0) <= 0.85
 
 
 @on_virtual_time
-async def test_a_full_region_does_not_spill_over_to_where_nothing_is_warm():
-    subject = Subject([upstream("n", "north-a", slots=1), upstream("s", "south-a")])
+async def test_full_region_does_not_overflow_to_a_cold_one():
+    subject = RouterUnderTest([registration("n", "north-a", slots=1), registration("s", "south-a")])
     demand = [RegionDemand("north", "s", 0.1), RegionDemand("south", "s", 0.1)]
     feed = Feed(life="l", order=1, image=SteeringImage(), age=0.0, demand=demand)
     subject.world.learn(feed, trio.current_time())
-    assert await passed_on_after(subject, 60.0) == 0.0
+    assert await remote_fraction_after(subject, 60.0) == 0.0
     held = subject.table.get("n")
     held.in_flight = 2
     assert set(subject.zones_of(range(30))) == {None}
@@ -158,7 +157,7 @@
 
 
 def answer_all(subject, seconds, keys=range(20)):
-    """Ask for each key once; each upstream answers in its own time."""
+    """Send a request for each key; upstreams answer after the given seconds, 0.1 by default."""
     now = trio.current_time()
     chosen = []
     for key in keys:
@@ -172,10 +171,8 @@
 
 
 @on_virtual_time
-async def test_an_upstream_that_turns_slow_is_left_out_and_tried_again_until_it_is_well():
-    # Brazos trouble-2, 19 s to 28 s: two fifths of the upstreams took twelve times as long, and
-    # their keys went on waiting there: a third of the look-ups were late or not served.
-    subject = Subject([upstream(f"n{n}", "north-a") for n in range(5)])
+async def test_slow_upstream_is_left_out_and_retried_until_it_recovers():
+    subject = RouterUnderTest([registration(f"n{n}", "north-a") for n in range(5)])
     for _ in range(10):
         before = answer_all(subject, {})
         await trio.sleep(0.2)
@@ -183,8 +180,8 @@
     for _ in range(4):
         answer_all(subject, {"n1": 1.2})
         await trio.sleep(0.2)
-    tries = [answer_all(subject, {"n1": 1.2}).count("n1") for _ in range(3)]
-    assert tries == [0, 0, 0]
+    attempts = [answer_all(subject, {"n1": 1.2}).count("n1") for _ in range(3)]
+    assert attempts == [0, 0, 0]
     seen = 0
     for _ in range(20):
         seen += answer_all(subject, {"n1": 1.2}).count("n1")
@@ -197,8 +194,8 @@
 
 
 @on_virtual_time
-async def test_work_for_keys_that_are_new_to_an_upstream_does_not_speak_against_it():
-    subject = Subject([upstream(f"n{n}", "north-a") for n in range(5)])
+async def test_slow_answers_for_cold_keys_do_not_count():
+    subject = RouterUnderTest([registration(f"n{n}", "north-a") for n in range(5)])
     for step in range(10):
         before = answer_all(subject, {"n1": 0.4}, range(100 * step, 100 * step + 20))
         await trio.sleep(0.2)
@@ -208,8 +205,8 @@
 
 
 @on_virtual_time
-async def test_when_all_upstreams_turn_slow_none_is_left_out():
-    subject = Subject([upstream(f"n{n}", "north-a") for n in range(5)])
+async def test_no_upstream_is_left_out_when_all_turn_slow():
+    subject = RouterUnderTest([registration(f"n{n}", "north-a") for n in range(5)])
     for _ in range(10):
         before = answer_all(subject, {})
         await trio.sleep(0.2)
@@ -221,11 +218,12 @@
 
 
 @on_virtual_time
-async def test_a_new_report_of_free_slots_lifts_the_gateways_own_part():
-    # Brazos quiet-1: with two of its own under way at an idle upstream of five slots, a gateway
-    # sent the next request for a key to an upstream that did not know it.
+async def test_newer_load_report_raises_the_gateways_slot_share():
+    # A key must not move to a cold upstream while its own one has free slots.
     gateways = tuple(f"g{n}" for n in range(12))
-    subject = Subject([upstream(f"n{n}", "north-a", slots=5) for n in range(4)], gateways=gateways)
+    subject = RouterUnderTest(
+        [registration(f"n{n}", "north-a", slots=5) for n in range(4)], gateways=gateways
+    )
     task = subject.task("a")
     subject.router.count_request(task, trio.current_time())
     home = subject.router.choose(task, trio.current_time()).record
@@ -240,8 +238,8 @@
 
 
 @on_virtual_time
-async def test_a_choice_says_why_and_what_was_known():
-    subject = Subject([upstream(f"n{n}", "north-a", slots=4) for n in range(5)])
+async def test_choice_carries_its_reason_and_inputs():
+    subject = RouterUnderTest([registration(f"n{n}", "north-a", slots=4) for n in range(5)])
     first = subject.router.choose(subject.task("a"), trio.current_time())
     assert (first.reason, first.region, first.busy) == (ChoiceReason.HOME, "north", 0.0)
     assert first.report_age == float("inf")
@@ -257,8 +255,8 @@
 
 
 @on_virtual_time
-async def test_a_plan_is_logged_when_it_has_moved_and_only_then():
-    subject = Subject(a_small_and_a_large_region(), {"north": 14.0, "south": 10.0})
+async def test_plan_is_logged_only_when_it_changes():
+    subject = RouterUnderTest(small_and_large_region(), {"north": 14.0, "south": 10.0})
     subject.zones_of(range(5))
     (line,) = subject.lines("plan")
     assert line["service"] == "s"
@@ -267,15 +265,15 @@
     assert line["work_ms"] == 300.0
     subject.zones_of(range(5))
     assert subject.lines("plan") == []
-    await passed_on_after(subject, 10.0)
+    await remote_fraction_after(subject, 10.0)
     kept = [line["kept"] for line in subject.lines("plan")]
     assert kept == sorted(kept)
     assert 3 <= len(kept) <= 20
 
 
 @on_virtual_time
-async def test_leaving_an_upstream_out_is_logged_with_its_cause():
-    subject = Subject([upstream(f"n{n}", "north-a") for n in range(5)])
+async def test_outlier_is_logged_with_its_cause():
+    subject = RouterUnderTest([registration(f"n{n}", "north-a") for n in range(5)])
     for _ in range(5):
         answer_all(subject, {})
         await trio.sleep(0.2)
@@ -290,8 +288,8 @@
 
 @on_virtual_time
 async def test_a_poor_upstream_serves_what_no_other_may_take():
-    """One upstream was slow for a moment, the other asks for rest: a slow answer beats none."""
-    subject = Subject([upstream("n1", "north-a"), upstream("n2", "north-a")])
+    """A slow upstream is used if the only other one is in backoff: a slow answer beats none."""
+    subject = RouterUnderTest([registration("n1", "north-a"), registration("n2", "north-a")])
     for _ in range(10):
         answer_all(subject, {})
         await trio.sleep(0.2)
@@ -299,6 +297,6 @@
         answer_all(subject, {"n1": 1.2})
         await trio.sleep(0.2)
     now = trio.current_time()
-    resting = subject.table.regions("s", now)["north"].records["n2"]
-    subject.table.rests.ask(resting.registration.life, 5.0, now)
+    in_backoff = subject.table.regions("s", now)["north"].records["n2"]
+    subject.table.rests.ask(in_backoff.registration.life, 5.0, now)
     assert subject.zones_of(range(20)) == ["north-a"] * 20
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -1,4 +1,4 @@
-"""The gateway's questions to replicas, against scripted links."""
+"""The gateway's polls of replicas, over scripted links."""
 
 import json
 from math import inf
@@ -13,8 +13,8 @@
 from finchway.observe import DecisionLog, GatewayMetrics, GatewayState, LogWriter, LoopLag
 from finchway.state import SteeringImage
 
-SEEDS = ["a:1", "b:1", "c:1"]
-LASTS_S = 2.4
+REPLICAS = ["a:1", "b:1", "c:1"]
+RUN_S = 2.4
 
 
 def peers(*names):
@@ -22,32 +22,32 @@
 
 
 class ScriptedLink:
-    """Answers every question after a while, but for the replicas that are down."""
+    """Answers every poll after a delay, except for replicas that are down."""
 
-    def __init__(self, down: set[str], fellows: tuple[str, ...] = ()) -> None:
+    def __init__(self, down: set[str], names: tuple[str, ...] = ()) -> None:
         self.down = down
-        self.serving = peers(*fellows)
-        self.asked = []
-        self.takes_s = 0.1
+        self.serving = peers(*names)
+        self.polls = []
+        self.delay_s = 0.1
 
-    async def request(self, address, question, timeout, send_within):
-        self.asked.append((trio.current_time(), address, question))
-        await trio.sleep(self.takes_s)
+    async def request(self, address, poll, timeout, send_within):
+        self.polls.append((trio.current_time(), address, poll))
+        await trio.sleep(self.delay_s)
         if address in self.down:
             raise TransportError("down")
         return Feed(
             life=address,
             order=0,
             image=SteeringImage(),
-            roster=Roster(version=7, serving=self.serving) if question.roster != 7 else None,
+            roster=Roster(version=7, serving=self.serving) if poll.roster != 7 else None,
             age=0.0,
         )
 
 
-def world_with(*fellows):
-    """Return a world that knows fellow gateways, each reached at its name and port 9."""
+def world_with(*names):
+    """Return a world with the given peer gateways, each at its name and port 9."""
     world = World()
-    roster = Roster(version=1, serving=peers(*fellows))
+    roster = Roster(version=1, serving=peers(*names))
     world.learn(
         Feed(life="k", order=0, image=SteeringImage(), age=0.0, roster=roster), float("-inf")
     )
@@ -56,124 +56,126 @@
 
 def new_session(beat, link, world):
     log = FeedLog(DecisionLog("g", LogWriter()), GatewayMetrics("g"), LoopLag())
-    return GatewaySession(beat, link, world, lambda: SEEDS, list, log)
+    return GatewaySession(beat, link, world, lambda: REPLICAS, list, log)
 
 
-def play(link, leave_at=None, world=None):
-    """Run a session on virtual time; returns the questions with their time from the start."""
+def run_session(link, leave_at=None, world=None):
+    """Run a session on virtual time; returns the polls with their time since the start."""
 
     async def run():
         beat = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
         session = new_session(beat, link, world or World())
         started = trio.current_time()
-        with trio.move_on_after(LASTS_S):
+        with trio.move_on_after(RUN_S):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(session.run)
                 if leave_at is not None:
                     await trio.sleep(leave_at)
                     session.leave()
-        return [(at - started, address, question) for at, address, question in link.asked]
+        return [(at - started, address, poll) for at, address, poll in link.polls]
 
     return trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_every_replica_is_asked_and_demand_is_asked_for_now_and_then():
-    asked = play(ScriptedLink(set()))
-    assert {address for _, address, _ in asked} == set(SEEDS)
-    times = [at for at, _, question in asked if question.demand]
+def test_every_replica_is_polled_and_demand_requested_periodically():
+    polls = run_session(ScriptedLink(set()))
+    assert {address for _, address, _ in polls} == set(REPLICAS)
+    times = [at for at, _, poll in polls if poll.demand]
     assert 4 <= len(times) <= 6
     assert all(later - earlier >= 0.5 for earlier, later in zip(times, times[1:], strict=False))
 
 
-def test_demand_is_asked_for_again_when_the_answer_is_lost():
-    asked = play(ScriptedLink({"a:1"}))
-    answered = [at for at, address, q in asked if q.demand and address != "a:1"]
+def test_demand_is_requested_again_after_a_lost_answer():
+    polls = run_session(ScriptedLink({"a:1"}))
+    answered = [at for at, address, poll in polls if poll.demand and address != "a:1"]
     gaps = [later - earlier for earlier, later in zip(answered, answered[1:], strict=False)]
     assert answered[0] < 0.5
     assert max(gaps) < 1.0
 
 
-def test_a_roster_that_is_known_is_not_asked_for_again():
-    asked = play(ScriptedLink(set()))
-    for replica in SEEDS:
-        versions = [q.roster for _, address, q in asked if address == replica]
+def test_known_roster_is_not_requested_again():
+    polls = run_session(ScriptedLink(set()))
+    for replica in REPLICAS:
+        versions = [poll.roster for _, address, poll in polls if address == replica]
         assert versions[0] == 0
         assert set(versions[1:]) == {7}
 
 
-def test_leaving_is_said_to_all_at_once():
-    asked = play(ScriptedLink(set()), leave_at=1.05)
-    said = {address for at, address, q in asked if q.beat.leaving and at < 1.2}
-    assert said == set(SEEDS)
+def test_leaving_is_reported_to_all_replicas_at_once():
+    polls = run_session(ScriptedLink(set()), leave_at=1.05)
+    informed = {address for at, address, poll in polls if poll.beat.leaving and at < 1.2}
+    assert informed == set(REPLICAS)
 
 
-def test_what_must_be_known_soon_is_told_to_all_at_once_and_now_and_then_at_most():
+def test_repoll_reaches_all_replicas_at_once_and_is_rate_limited():
     async def run():
         beat = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
         link = ScriptedLink(set())
-        link.takes_s = 0.6
+        link.delay_s = 0.6
         session = new_session(beat, link, World())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(session.run)
             await trio.sleep(1.0)
-            before, at = len(link.asked), trio.current_time()
+            before, at = len(link.polls), trio.current_time()
             for _ in range(10):
                 session.repoll()
                 await trio.sleep(0.03)
             nursery.cancel_scope.cancel()
-        return [(asked - at, address) for asked, address, _ in link.asked[before:]]
+        return [(sent_at - at, address) for sent_at, address, _ in link.polls[before:]]
 
-    asked = trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert sorted(address for at, address in asked if at < 0.05) == SEEDS
-    assert len(asked) <= 2 * len(SEEDS)
+    polls = trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
+    assert sorted(address for at, address in polls if at < 0.05) == REPLICAS
+    assert len(polls) <= 2 * len(REPLICAS)
 
 
-def test_a_gateway_that_no_replica_answers_asks_by_way_of_a_fellow():
-    asked = play(ScriptedLink(set(SEEDS), ("g", "h")), world=world_with("g", "h"))
-    relayed = [at for at, address, _ in asked if address == "h:9"]
+def test_gateway_polls_through_a_peer_when_no_replica_answers():
+    polls = run_session(ScriptedLink(set(REPLICAS), ("g", "h")), world=world_with("g", "h"))
+    relayed = [at for at, address, _ in polls if address == "h:9"]
     assert 1.0 <= relayed[0] < 1.3
     assert len(relayed) > 5
-    assert not [address for _, address, _ in asked if address == "g:9"]
+    assert not [address for _, address, _ in polls if address == "g:9"]
 
 
-def test_a_fellow_that_does_not_answer_is_followed_by_the_next():
-    asked = play(ScriptedLink({*SEEDS, "h:9"}, ("g", "h", "i")), world=world_with("g", "h", "i"))
-    addresses = [address for _, address, _ in asked if address in ("h:9", "i:9")]
+def test_next_peer_is_used_when_a_peer_does_not_answer():
+    polls = run_session(
+        ScriptedLink({*REPLICAS, "h:9"}, ("g", "h", "i")), world=world_with("g", "h", "i")
+    )
+    addresses = [address for _, address, _ in polls if address in ("h:9", "i:9")]
     assert addresses[:2] == ["h:9", "i:9"]
     assert set(addresses[1:]) == {"i:9"}
 
 
-def test_fellows_are_left_alone_while_a_replica_answers():
-    asked = play(ScriptedLink({"a:1", "b:1"}), world=world_with("g", "h"))
-    assert {address for _, address, _ in asked} == set(SEEDS)
+def test_peers_are_not_polled_while_a_replica_answers():
+    polls = run_session(ScriptedLink({"a:1", "b:1"}), world=world_with("g", "h"))
+    assert {address for _, address, _ in polls} == set(REPLICAS)
 
 
-def test_a_fellows_question_is_passed_on_to_a_replica_that_answers():
+def test_poll_of_a_peer_is_relayed_to_a_replica_that_answers():
     link = ScriptedLink({"a:1"})
 
     async def run():
         beat = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
         session = new_session(beat, link, World())
-        question = Subscribe(beat=beat, revision=0)
+        poll = Subscribe(beat=beat, revision=0)
         with pytest.raises(UnavailableError):
-            await session.relay(question)
+            await session.relay(poll)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(session.run)
             await trio.sleep(0.5)
-            assert (await session.relay(question)).life == "b:1"
+            assert (await session.relay(poll)).life == "b:1"
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_first_slow_and_given_up_questions_are_told_apart_in_lines_and_figures():
+def test_first_slow_and_given_up_polls_are_logged_and_counted_separately():
     class UnevenLink(ScriptedLink):
-        """One replica answers at once, one late, one not at all."""
+        """Replica a answers promptly, b late and c not at all."""
 
-        async def request(self, address, question, timeout, send_within):
+        async def request(self, address, poll, timeout, send_within):
             if address == "b:1":
                 await trio.sleep(0.5)
-            return await super().request(address, question, timeout, send_within)
+            return await super().request(address, poll, timeout, send_within)
 
     async def run():
         writer, metrics = LogWriter(), GatewayMetrics("g")
@@ -182,11 +184,11 @@
             beat,
             UnevenLink({"c:1"}),
             World(),
-            lambda: SEEDS,
+            lambda: REPLICAS,
             list,
             FeedLog(DecisionLog("g", writer), metrics, LoopLag()),
         )
-        with trio.move_on_after(LASTS_S):
+        with trio.move_on_after(RUN_S):
             await session.run()
         lines = [json.loads(line) for line in writer._take().splitlines()]
         feeds = {(line["replica"], line["outcome"]) for line in lines if line["event"] == "feed"}
@@ -194,7 +196,7 @@
         slow = next(line for line in lines if line.get("outcome") == "slow")
         assert slow["ms"] == 600.0
         assert slow["lag_ms"] == 0.0
-        figures = metrics.render(
+        rendered = metrics.render(
             GatewayState(
                 revision=0,
                 feed_age_s=0.0,
@@ -208,14 +210,14 @@
                 log_lines_dropped=0,
             )
         ).decode()
-        assert 'finchway_gateway_feeds_total{instance="g",outcome="given-up"}' in figures
-        assert "finchway_gateway_feed_transit_seconds_bucket" in figures
-        assert 'name="known_age_seconds"} -1.0' in figures
+        assert 'finchway_gateway_feeds_total{instance="g",outcome="given-up"}' in rendered
+        assert "finchway_gateway_feed_transit_seconds_bucket" in rendered
+        assert 'name="known_age_seconds"} -1.0' in rendered
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_held_up_event_loop_shows_and_is_forgotten():
+def test_loop_lag_reports_the_worst_stall_and_expires():
     lag = LoopLag()
     assert lag.worst_s == 0.0
     lag.note(1.0, 0.7)
--- a/tests/gateway/test_silent_connections.py
+++ b/tests/gateway/test_silent_connections.py
@@ -1,10 +1,6 @@
-"""Kept connections to an upstream that go silent for good, while new ones work.
+"""Kept connections to an upstream that go silent without a reset, while new ones work.
 
-Symptom: one request after the other is held until its time is up, at an upstream that answers
-everyone else. Sequence: the kept connections stop carrying bytes without a reset; each is taken
-for one request, brings nothing, and only that one is closed. Cause: nothing probed a connection at
-rest, and one that had brought nothing did not speak against those kept beside it. What settled it:
-the order of statuses (504, 504, 200 with two kept connections), and the options of the socket.
+Only one request may be lost to them: a silent connection also discards those kept beside it.
 """
 
 import errno
@@ -17,12 +13,11 @@
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
 from tests.gateway.harness import Upstream, answer, gateway
 
-# Seconds within which a connection at rest is found to be dead: the least that users leave for
-# connections that broke.
-FOUND_WITHIN_S = 3
+# Time within which keepalive probes must detect a dead idle connection.
+MAX_DETECTION_S = 3
 
 
-async def answer_after_a_while(upstream, stream, request):
+async def answer_slowly(upstream, stream, request):
     await trio.sleep(0.1)
     await stream.send_all(answer(request))
 
@@ -33,42 +28,42 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def test_one_silent_connection_speaks_against_those_kept_beside_it():
+def test_silent_connection_discards_those_kept_beside_it():
     async def check():
-        upstream = Upstream("i-1", answer_after_a_while)
+        upstream = Upstream("i-1", answer_slowly)
         async with gateway(upstream, timeout=0.4) as subject:
             proxy = Proxy(free_address(), upstream.address)
             await subject.nursery.start(proxy.run)
-            subject.tell([upstream.registration(sequence=2, address=proxy.listen)])
+            subject.apply_feed([upstream.registration(sequence=2, address=proxy.listen)])
             callers = [await subject.connect() for _ in range(2)]
             statuses = []
 
-            async def ask(caller):
-                statuses.append((await caller.ask())[0])
+            async def send_request(caller):
+                statuses.append((await caller.request())[0])
 
             async with trio.open_nursery() as nursery:
                 for caller in callers:
-                    nursery.start_soon(ask, caller)
+                    nursery.start_soon(send_request, caller)
             assert statuses == [200, 200]
             assert upstream.connections == 2
             proxy.go_silent()
-            assert (await callers[0].ask())[0] == 504
-            assert (await callers[1].ask())[0] == 200
+            assert (await callers[0].request())[0] == 504
+            assert (await callers[1].request())[0] == 200
 
     trio.run(check)
 
 
-def test_connections_are_probed_while_nothing_is_sent_on_them():
+def test_idle_connections_are_probed():
     async def check():
-        upstream = Upstream("i-1", answer_after_a_while)
+        upstream = Upstream("i-1", answer_slowly)
         async with gateway(upstream):
             connection = await UpstreamConnection.open(upstream.address, "i-1")
             sock = connection._stream.socket
             assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
             idle = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
-            between = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
+            interval = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
             probes = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT)
-            assert idle + between * probes <= FOUND_WITHIN_S
+            assert idle + interval * probes <= MAX_DETECTION_S
             connection.close()
 
     trio.run(check)
@@ -79,7 +74,7 @@
     [(errno.ETIMEDOUT, Failure.SILENT), (errno.ECONNRESET, Failure.BROKEN)],
     ids=["silent", "reset"],
 )
-def test_a_connection_without_any_sign_is_told_from_one_that_was_reset(number, failure):
+def test_timed_out_connection_is_distinguished_from_a_reset_one(number, failure):
     class Stream:
         async def receive_some(self, _):
             raise trio.BrokenResourceError("broken") from OSError(number, "read")
--- a/tests/gateway/test_stale_configuration.py
+++ b/tests/gateway/test_stale_configuration.py
@@ -1,26 +1,7 @@
-"""A route refused with 404 long after its change was confirmed.
+"""Gateways and replicas must not treat a stale configuration as current.
 
-Symptom: an operator's change that added routes was confirmed, and 9.45 s later a gateway in touch
-with control answered 404 to a request for one of them, where 2.5 s are allowed.
-
-Sequence: callers fill the gateway's narrow link (2.65 Mbit/s), and everything on it waits half a
-second and more. Every question of the gateway to a replica is given up after 1.0 s, of which the
-replica may use 0.6 s waiting for news; the answer arrives a moment later and is thrown away. So
-the change does not get in, while the gateway takes its old catalog for the whole truth.
-
-Cause: a gateway said that a route does not exist without knowing how old its knowledge was, and
-the feed threw away answers that had come all the way. The same class once more: a replica called
-its state confirmed on the strength of any message of the leader, also one that it had to reject
-because its log was behind.
-
-What settled it, from a run with a change at 14.0 s (lines of seven gateways of one zone):
-
-    14.39  gateway-3  belief   subject=configuration now=revision 3
-    14.69  gateway-2  request  status=404 reason=no route ms=0.1 revision=2 heard_ms=4448.4
-    15.97  gateway-1  request  status=404 reason=no route ms=0.1 revision=2 heard_ms=4936.4
-
-with 108 questions given up in 19 s; and 71 in 9 s when no processor time was charged, so the
-link alone does it.
+Answers to polls that arrive late are still applied, a gateway with an old configuration answers 503
+instead of 404 for an unknown route, and a replica confirms only state that it can vouch for.
 """
 
 import itertools
@@ -45,13 +26,12 @@
 from finchway.replication._messages import AppendReply
 from finchway.state import ChangeItems, Steering, SteeringImage, encode_command
 from finchway.transport import Confirm, Confirmed, RaftBody
-from tests.gateway.harness import Upstream, gateway, serve_well
+from tests.gateway.harness import Upstream, gateway, serve_ok
 
 REPLICAS = ["a:1", "b:1", "c:1"]
-# What an accepted change may take to be in force everywhere, in seconds.
-IN_FORCE_WITHIN_S = 2.5
-# What a replica in this process may take for all that a test asks of it, in seconds.
-PATIENCE_S = 10.0
+# Maximum time from a confirmed change until every gateway applies it.
+MAX_APPLY_DELAY_S = 2.5
+TEST_TIMEOUT_S = 10.0
 BEAT = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
 
 
@@ -78,23 +58,23 @@
     return ChangeItems(now_ms=0, items=[service, *routes, limits])
 
 
-class SoundCore:
-    """A replica's core that hears its leader."""
+class StubCore:
+    """A replica's core in contact with its leader."""
 
     members = Members(())
 
 
-class SoundMachine:
+class StubMachine:
     def __init__(self):
         self.steering = Steering()
 
 
-class SoundRunner:
-    """A replica that applies whatever is committed at once."""
+class StubRunner:
+    """A replica that applies each change at once."""
 
     def __init__(self):
-        self.core = SoundCore()
-        self.machine = SoundMachine()
+        self.core = StubCore()
+        self.machine = StubMachine()
         self._changed = trio.Event()
 
     @property
@@ -112,25 +92,25 @@
 
 
 class SlowLink:
-    """Carries questions and answers to three replicas, each way taking some seconds."""
+    """Carries polls and answers to three replicas with a fixed one-way delay in seconds."""
 
-    def __init__(self, runners: dict[str, SoundRunner], way: float) -> None:
-        self.way = way
-        self.desks = {address: FeedDesk(r, None, 1.5) for address, r in runners.items()}
+    def __init__(self, runners: dict[str, StubRunner], delay: float) -> None:
+        self.delay = delay
+        self.feeds = {address: FeedDesk(r, None, 1.5) for address, r in runners.items()}
 
-    async def request(self, address, question, timeout, send_within=None):
+    async def request(self, address, poll, timeout, send_within=None):
         with trio.move_on_after(timeout):
-            await trio.sleep(self.way)
-            answer = await self.desks[address].answer(question)
-            await trio.sleep(self.way)
+            await trio.sleep(self.delay)
+            answer = await self.feeds[address].answer(poll)
+            await trio.sleep(self.delay)
             return answer
         raise TransportError(f"no answer from {address}")
 
 
-def test_a_change_is_in_force_in_time_though_answers_are_long_on_the_way():
+def test_change_is_applied_in_time_over_a_slow_link():
     async def check():
-        runners = {address: SoundRunner() for address in REPLICAS}
-        link = SlowLink(runners, way=0.01)
+        runners = {address: StubRunner() for address in REPLICAS}
+        link = SlowLink(runners, delay=0.01)
         for runner in runners.values():
             runner.change(route_change(1, "old"))
         world = World()
@@ -146,35 +126,35 @@
             nursery.start_soon(session.run)
             await trio.sleep(2.0)
             assert world.steering.catalog.match("a.example", "/old/1") is not None
-            link.way = 0.6
+            link.delay = 0.6
             await trio.sleep(2.0)
             for runner in runners.values():
                 runner.change(route_change(18, "old", "new"))
-            await trio.sleep(IN_FORCE_WITHIN_S)
+            await trio.sleep(MAX_APPLY_DELAY_S)
             assert world.steering.catalog.match("a.example", "/new/1") is not None
             nursery.cancel_scope.cancel()
 
     trio.run(check, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_gateway_that_was_told_nothing_for_long_does_not_say_that_a_route_is_not_there():
+def test_unknown_route_is_503_while_the_configuration_is_stale():
     async def check():
-        async with gateway(Upstream("i-1", serve_well)) as subject:
+        async with gateway(Upstream("i-1", serve_ok)) as subject:
             caller = await subject.connect()
-            assert (await caller.ask(path=b"/nowhere/1"))[0] == 404
-            await trio.sleep(IN_FORCE_WITHIN_S + 0.1)
-            status, head, _ = await caller.ask(path=b"/nowhere/1")
+            assert (await caller.request(path=b"/nowhere/1"))[0] == 404
+            await trio.sleep(MAX_APPLY_DELAY_S + 0.1)
+            status, head, _ = await caller.request(path=b"/nowhere/1")
             assert status == 503
             assert b"retry-after" in head.lower()
-            assert (await caller.ask(path=b"/x/1"))[0] == 200
-            subject.tell()
-            assert (await caller.ask(path=b"/nowhere/1"))[0] == 404
+            assert (await caller.request(path=b"/x/1"))[0] == 200
+            subject.apply_feed()
+            assert (await caller.request(path=b"/nowhere/1"))[0] == 404
 
     trio.run(check)
 
 
 class LeaderLink:
-    """Plays the leader to one replica: answers its questions and takes its replies."""
+    """Acts as the leader of one replica: answers its requests and records its replies."""
 
     def __init__(self, committed: int, age: float = 0.0) -> None:
         self.committed = committed
@@ -194,7 +174,7 @@
 
 @asynccontextmanager
 async def following_replica(folder, link, storage_type=Storage):
-    """Run one replica of three that follows a scripted leader; yields its control role."""
+    """Run one replica of three that follows a scripted leader; yields its control server."""
     founders = {name: f"{name}:1" for name in ("leader", "other", "self")}
     identity = found_cluster(folder, "self", founders)
     timeline = Timeline("self", LogicalClock(), lambda: 0)
@@ -210,21 +190,21 @@
     )
     lease = LeaseTiming(interval=0.2, lease=3.0, margin=0.1)
     control = ControlServer(runner, link, timeline, lease, LoanTiming(), None)
-    with trio.fail_after(PATIENCE_S):
+    with trio.fail_after(TEST_TIMEOUT_S):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(control.run)
             yield control
             nursery.cancel_scope.cancel()
 
 
-async def until_covered(control) -> None:
-    """Return once the replica's state has been covered up to some moment."""
+async def wait_until_covered(control) -> None:
+    """Wait until the replica's state has been confirmed once."""
     while control.runner.covered_at == float("-inf"):
         await trio.sleep(0.01)
 
 
-def append_of(control, **fields) -> Append:
-    """Return a message of the scripted leader to the replica."""
+def new_append(control, **fields) -> Append:
+    """Return an append from the scripted leader to the replica."""
     core = control.runner.core
     return Append(
         cluster=control.runner.cluster,
@@ -236,24 +216,24 @@
     )
 
 
-def test_a_replica_that_lacks_what_is_committed_does_not_vouch_for_what_it_has(tmp_path):
+def test_replica_behind_the_commit_index_does_not_confirm_its_state(tmp_path):
     old = Entry(2, 2, EntryKind.COMMAND, encode_command(route_change(1, "old")))
     link = LeaderLink(committed=50)
 
-    async def keep_sending(control):
-        """Send what comes far beyond the replica's log, as to one that has just come back."""
+    async def keep_appending(control):
+        """Send appends that begin far beyond the end of the replica's log."""
         for _ in itertools.count():
-            beyond = append_of(control, previous_index=49, previous_term=2, entries=(), commit=50)
+            beyond = new_append(control, previous_index=49, previous_term=2, entries=(), commit=50)
             control.runner.receive(beyond, "leader:1")
             await trio.sleep(0.06)
 
     async def check():
         async with following_replica(tmp_path, link) as control:
-            first = append_of(control, previous_index=1, previous_term=1, entries=(old,), commit=2)
+            first = new_append(control, previous_index=1, previous_term=1, entries=(old,), commit=2)
             control.runner.receive(first, "leader:1")
             async with trio.open_nursery() as nursery:
                 await control.runner.wait_steering(0)
-                nursery.start_soon(keep_sending, control)
+                nursery.start_soon(keep_appending, control)
                 while not link.replies or link.replies[-1].success:
                     await trio.sleep(0.01)
                 await trio.sleep(0.5)
@@ -267,32 +247,30 @@
     trio.run(check)
 
 
-@pytest.mark.parametrize(("age", "vouches"), [(0.0, True), (5.0, False)])
-def test_a_replica_vouches_for_what_it_has_as_of_the_leaders_newest_confirmation(
-    tmp_path, age, vouches
-):
+@pytest.mark.parametrize(("age", "ready"), [(0.0, True), (5.0, False)])
+def test_replica_confirms_its_state_as_of_the_leaders_confirmation(tmp_path, age, ready):
     entry = Entry(2, 2, EntryKind.COMMAND, encode_command(route_change(1, "old")))
 
     async def check():
         async with following_replica(tmp_path, LeaderLink(committed=2, age=age)) as control:
-            first = append_of(
+            first = new_append(
                 control, previous_index=1, previous_term=1, entries=(entry,), commit=2
             )
             control.runner.receive(first, "leader:1")
             await control.runner.wait_steering(0)
-            await until_covered(control)
+            await wait_until_covered(control)
             world = World()
             asked_at = trio.current_time()
             answer = await control.handle(Subscribe(beat=BEAT, revision=0), "g")
             world.learn(answer, trio.current_time(), asked_at)
-            assert world.is_ready is vouches
+            assert world.is_ready is ready
             assert age <= asked_at - world.covered_at <= age + 0.5
 
     trio.run(check)
 
 
 class HangingStorage(Storage):
-    """A disk that hangs on every write once it is told to."""
+    """Storage whose writes block once `hangs` is set."""
 
     hangs = threading.Event()
     released = threading.Event()
@@ -303,12 +281,8 @@
         super().save(ready)
 
 
-def test_a_replica_whose_disk_hangs_grows_old(tmp_path):
-    """Nothing moves on while a write hangs, the core's own clock neither.
-
-    So the time since the leader was heard stood still at a moment ago, and the replica went on to
-    call its state confirmed for as long as the disk hung.
-    """
+def test_age_of_a_replica_grows_while_its_disk_hangs(tmp_path):
+    """The age must grow during a blocked write, although the core's own clock stands still."""
     entries = [
         Entry(2, index, EntryKind.COMMAND, encode_command(route_change(index, "old")))
         for index in (2, 3)
@@ -318,7 +292,7 @@
     async def check():
         async with following_replica(tmp_path, link, HangingStorage) as control:
             for entry in entries:
-                message = append_of(
+                message = new_append(
                     control,
                     previous_index=entry.index - 1,
                     previous_term=1 if entry.index == 2 else 2,
@@ -328,7 +302,7 @@
                 control.runner.receive(message, "leader:1")
                 if entry.index == 2:
                     await control.runner.wait_steering(0)
-                    await until_covered(control)
+                    await wait_until_covered(control)
                     assert (await control.handle(Subscribe(beat=BEAT, revision=0), "g")).age < 0.5
                     HangingStorage.hangs.set()
             link.committed = 3
@@ -344,7 +318,7 @@
         HangingStorage.released.set()
 
 
-def test_what_an_answer_waited_for_on_its_way_makes_it_older():
+def test_transit_time_adds_to_the_age_of_an_answer():
     world = World()
     answer = Feed(life="l", order=0, image=SteeringImage(), age=0.2, held=0.6)
     world.learn(answer, now=13.0, asked_at=10.0)
