--- a/tests/gateway/test_suspect_requests.py
+++ b/tests/gateway/test_suspect_requests.py
@@ -168,7 +168,10 @@
         async with trio.open_nursery() as nursery:
             for number in range(4 * UPSTREAMS):
                 nursery.start_soon(call, number)
-            await trio.sleep(0.1)
+            # Bounded so that the requests are still in flight when the upstreams crash.
+            with trio.move_on_after(0.4):
+                while sum(bool(u.requests) for u in upstreams) <= MAX_CRASHES:
+                    await trio.sleep(0.01)
             assert sum(bool(u.requests) for u in upstreams) > MAX_CRASHES
             for upstream in upstreams:
                 upstream.crash()
