--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -11,7 +11,7 @@
 
     def choose(self, limits, now):
         """Pick the next upstream that has a slot."""
-        usable = [a for a in sorted(limits) if self._free(a, limits[a], now) > 0]
+        usable = [a for a in sorted(limits) if self._free_slots(a, limits[a], now) > 0]
         if not usable:
             return None
         self._turn = getattr(self, "_turn", 0) + 1
@@ -23,7 +23,7 @@
 
     def choose(self, limits, now):
         """Pick at random."""
-        usable = [a for a in sorted(limits) if self._free(a, limits[a], now) > 0]
+        usable = [a for a in sorted(limits) if self._free_slots(a, limits[a], now) > 0]
         return self._rng.choice(usable) if usable else None
 
 
@@ -47,7 +47,7 @@
         self._floors = {
             (share.service, share.region): dict(share.current.slots) for share in shares
         }
-        self._both = {}
+        self._limits = {}
 
     def fits(self, key, in_flight, now) -> bool:
         """Never wait for others."""
--- a/src/finchway/policy/__init__.py
+++ b/src/finchway/policy/__init__.py
@@ -1,6 +1,6 @@
-"""The decisions: routing, capacity shares, admission, shifts, drains, retries, upstream choice.
+"""Traffic policy: routing, capacity shares, admission, shifts, drains, retries, upstream choice.
 
-All of them are plain objects: time comes in as an argument, nothing here does I/O.
+All classes are free of I/O and take the current time as an argument.
 """
 
 from finchway.policy._admission import (
@@ -28,10 +28,10 @@
 from finchway.policy._holder import Demand, Holder, Loan, LoanTiming
 from finchway.policy._key_map import KeyMap
 from finchway.policy._lender import Lender
+from finchway.policy._limit_parts import part_of_limit
+from finchway.policy._local_fraction import KeepLimit
 from finchway.policy._outliers import Standing, find_poor
-from finchway.policy._parts import part_of_limit
 from finchway.policy._placement import HOMES, Candidate, UpstreamOrders, choose_home
-from finchway.policy._recall import KeepLimit
 from finchway.policy._region_health import RegionChoice, RegionHealth, RegionTrial
 from finchway.policy._retries import MAX_ATTEMPTS, Attempt, Outcome, RetryBudget, may_retry
 from finchway.policy._routing import Caller, EntryPoint, Routes, caller_position, client_block
--- a/src/finchway/policy/_admission.py
+++ b/src/finchway/policy/_admission.py
@@ -1,7 +1,7 @@
-"""Admission: a bounded queue served by paid priority, with deadlines.
+"""Admission control: a bounded queue ordered by paid priority, with deadlines.
 
-When the queue is full the worst waiting ticket makes room for a better one; a ticket that cannot
-be served before its deadline is refused at once, with the time after which to come back.
+When the queue is full, a ticket of better priority evicts the worst one. A ticket that cannot be
+served before its deadline is refused immediately with a retry delay.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Ticket(Struct, eq=False):
-    """A request that asks for a slot; `deadline` is in seconds on the entry's clock."""
+    """A request for a slot; `deadline` is in seconds on the entry's clock."""
 
     sequence: int
     rank: int
@@ -28,19 +28,19 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Better priorities first, then first come, first served."""
+        """Sort key: best priority first, then first in, first out."""
         return self.rank, self.sequence
 
 
 class Refusal(Struct, frozen=True):
-    """Why a request was not admitted, and when to come back."""
+    """Why a request was not admitted, and after how long it may be retried."""
 
     reason: str
     retry_after_s: float
 
 
 class ServiceRate:
-    """How fast a service frees slots here: the mean time a slot is held, by exponential mean."""
+    """Exponential moving average of the time for which a request of a service holds its slot."""
 
     __slots__ = ("_mean_s", "_weight")
 
@@ -50,11 +50,11 @@
 
     @property
     def mean_s(self) -> float:
-        """The mean time in seconds that a request holds its slot."""
+        """The mean slot hold time in seconds."""
         return self._mean_s
 
     def record(self, held_s: float) -> None:
-        """Take in how long one request held its slot."""
+        """Record the slot hold time of one request."""
         self._mean_s += self._weight * (held_s - self._mean_s)
 
     def wait_s(self, ahead: int, slots: int) -> float:
@@ -63,7 +63,7 @@
 
 
 class WaitingQueue:
-    """The waiting tickets of one service at one entry."""
+    """The queued tickets of one service at one entry."""
 
     __slots__ = ("_limit", "_tickets")
 
@@ -79,7 +79,7 @@
 
     @property
     def limit(self) -> int:
-        """How many tickets may wait."""
+        """The maximum number of queued tickets."""
         return self._limit
 
     @limit.setter
@@ -87,35 +87,35 @@
         self._limit = limit
 
     def ahead_of(self, ticket: Ticket) -> int:
-        """Return how many waiting tickets would be served before this one."""
+        """Return the number of queued tickets that are served before this one."""
         return sum(1 for waiting in self._tickets if waiting.order < ticket.order)
 
     def push(self, ticket: Ticket) -> Ticket | None:
-        """Add a ticket; returns the one that had to go, which can be the new one itself."""
+        """Add a ticket; return the evicted one, if any, which may be the new ticket itself."""
         insort(self._tickets, ticket, key=lambda t: t.order)
         return self._tickets.pop() if len(self._tickets) > self._limit else None
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take a ticket out, when its caller has gone; False if it was not waiting."""
+        """Remove a ticket whose caller has disconnected; False if it was not queued."""
         if ticket not in self._tickets:
             return False
         self._tickets.remove(ticket)
         return True
 
     def expire(self, now: float) -> list[Ticket]:
-        """Take out and return the tickets whose deadline has passed."""
+        """Remove and return the tickets whose deadline has passed."""
         late = [ticket for ticket in self._tickets if ticket.deadline <= now]
         self._tickets = [ticket for ticket in self._tickets if ticket.deadline > now]
         return late
 
 
 def retry_after(wait_s: float) -> float:
-    """Turn an expected wait into the time that a refused caller is told to stay away."""
+    """Return the retry delay for a refused caller: the expected wait, within bounds."""
     return min(_MAX_RETRY_AFTER_S, max(_MIN_RETRY_AFTER_S, wait_s))
 
 
 class PaidRate:
-    """The rate that an organisation has paid for, as a token bucket of one second's worth."""
+    """Token bucket for the rate that an organisation has paid for, with one second of burst."""
 
     __slots__ = ("_at", "_rate", "_tokens")
 
@@ -134,7 +134,7 @@
         self._rate = rate
 
     def take(self, now: float) -> bool:
-        """Count one request; False if it is beyond what was paid for."""
+        """Take a token for one request; False if the paid rate is exceeded."""
         elapsed = max(0.0, now - self._at)
         self._tokens = min(max(1.0, self._rate), self._tokens + elapsed * self._rate)
         self._at = now
@@ -145,7 +145,7 @@
 
 
 class RateWindow:
-    """Requests per second over the last whole seconds, for reports to the leader."""
+    """Request rate over a sliding window, for reports to the leader."""
 
     __slots__ = ("_times", "_window_s")
 
@@ -158,7 +158,7 @@
         self._times.append(now)
 
     def rate(self, now: float) -> float:
-        """Return the requests per second at the moment."""
+        """Return the mean requests per second over the window that ends now."""
         while self._times and self._times[0] < now - self._window_s:
             self._times.popleft()
         return len(self._times) / self._window_s
--- a/src/finchway/policy/_blocks.py
+++ b/src/finchway/policy/_blocks.py
@@ -1,7 +1,7 @@
-"""The table of client blocks: IPv4 prefixes to sites, in flat arrays.
+"""Lookup table from IPv4 client prefixes to sites.
 
-At 1.2 million blocks it takes a few megabytes: starts, ends and site numbers in three arrays.
-Nested blocks are flattened when the table is built, so a look-up is one binary search.
+Nested prefixes are flattened into disjoint ranges when the table is built, so that a lookup is one
+binary search over compact arrays.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class BlockTable:
-    """Client blocks in flat arrays.
+    """Maps client addresses to sites by longest prefix.
 
     table = BlockTable.build([("10.1.0.0/16", "colombo")])
     table.find("10.1.2.3")  # "colombo"
@@ -33,7 +33,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """The memory of the arrays."""
+        """The memory used by the arrays."""
         arrays = (self._starts, self._numbers)
         return sum(a.itemsize * len(a) for a in arrays)
 
@@ -49,7 +49,7 @@
         return cls(*_flatten(spans), list(sites))
 
     def find(self, address: str) -> str | None:
-        """Return the site of an address, or None if no block holds it."""
+        """Return the site of an address, or None if no block contains it."""
         try:
             value = int(ipaddress.IPv4Address(address))
         except ValueError:
@@ -57,7 +57,7 @@
         return self.find_number(value)
 
     def find_number(self, value: int) -> str | None:
-        """Return the site of an address given as a number."""
+        """Return the site of an address given as an integer."""
         index = bisect_right(self._starts, value) - 1
         if index < 0 or self._numbers[index] == NO_SITE:
             return None
@@ -65,7 +65,7 @@
 
 
 def parse_block(text: str) -> tuple[int, int]:
-    """Return the first address of a block and the one after its last, as numbers."""
+    """Return the first address of a block and the address after its last, as integers."""
     prefix, _, length = text.partition("/")
     a, b, c, d = (int(part) for part in prefix.split("."))
     size = 1 << (32 - int(length))
--- a/src/finchway/policy/_choice.py
+++ b/src/finchway/policy/_choice.py
@@ -1,8 +1,8 @@
-"""Which upstream serves a request: the one with fewer own requests of two drawn at random.
+"""Upstream selection by power of two choices over this entry's own in-flight requests.
 
-Reported load is no part of the choice: with one or two slots at an upstream it did not help, and
-a report lags or misleads. Good health overrides neither a failed request nor a leaving mark.
-Ejection is bounded, so that a misleading signal cannot empty a region.
+Reported load is not used for the choice, since reports may lag or be wrong, and a healthy report
+overrides neither failed requests nor a leaving mark. The fraction of ejected upstreams is bounded,
+so that a wrong signal cannot take a whole region out of service.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 EJECTION_S = 2.0
 MAX_EJECTION_S = 60.0
 EJECTED_FRACTION = 0.5
-REST_S = 0.05
-MAX_REST_S = 0.5
+REFUSAL_BACKOFF_S = 0.05
+MAX_REFUSAL_BACKOFF_S = 0.5
 
 
 class LoadReport(Struct, frozen=True):
-    """What an upstream's load endpoint said: busy slots and waiting requests over its slots."""
+    """Load reported by an upstream: busy slots plus queued requests, divided by its slots."""
 
     load: float
     at: float
 
 
 class UpstreamState(Struct):
-    """What one entry knows of one upstream."""
+    """The state of one upstream as seen by one entry."""
 
     address: str
     since: float
@@ -47,22 +47,22 @@
     incarnation: str = ""
 
     def ramp(self, now: float) -> float:
-        """Return the part of its limit that an upstream may be given while it is cold."""
+        """Return the fraction of its limit that applies to an upstream during slow start."""
         if self.ramp_s <= 0:
             return 1.0
         return min(1.0, max(0.0, (now - self.since) / self.ramp_s))
 
 
 class Directory:
-    """The upstreams that one entry knows, by address."""
+    """The upstreams of one entry, by address."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._rests = RestBook(rng)
+        self._backoffs = RestBook(rng)
         self._limits = LimitWords()
-        self._part_of: Callable[[str, float], Part] = lambda address, limit: Part(limit)
+        self._divide_limit: Callable[[str, float], Part] = lambda address, limit: Part(limit)
         self._allowances = Allowances(
-            self._limits, rng, lambda life, limit, now: self._part_of(_address_of(life), limit)
+            self._limits, rng, lambda key, limit, now: self._divide_limit(_address_of(key), limit)
         )
         self._states: dict[str, UpstreamState] = {}
 
@@ -70,13 +70,13 @@
         return iter(self._states.values())
 
     def get(self, address: str) -> UpstreamState | None:
-        """Return the state of an upstream, if it is known."""
+        """Return the state of an upstream, or None if it is not configured."""
         return self._states.get(address)
 
     def sync(self, ramps: dict[str, float], now: float, warm: bool) -> list[str]:
-        """Take over the configured upstreams with their ramp times; returns those dropped.
+        """Apply the configured upstreams with their ramp times; return the removed ones.
 
-        At the start of a process the upstreams count as warm, since others use them already.
+        When the process starts, upstreams count as warm, since other entries already use them.
         """
         dropped = [a for a in self._states if a not in ramps and not self._states[a].in_flight]
         for address in dropped:
@@ -88,7 +88,7 @@
         return dropped
 
     def record_success(self, address: str) -> None:
-        """Note that a request to an upstream succeeded."""
+        """Record a successful request."""
         state = self._states.get(address)
         if state:
             state.failures = 0
@@ -96,77 +96,81 @@
             state.refusals = 0
 
     def record_refusal(self, address: str, now: float) -> None:
-        """Let an upstream rest that refused a request before running it.
+        """Back off from an upstream that refused a request without running it.
 
-        It answers fast and looks idle, so without a rest it would draw ever more requests.
+        It responds fast and has few requests in flight, so it would otherwise attract more traffic.
         """
         state = self._states.get(address)
         if state:
-            state.rests_until = now + min(MAX_REST_S, REST_S * 2**state.refusals)
+            state.rests_until = now + min(
+                MAX_REFUSAL_BACKOFF_S, REFUSAL_BACKOFF_S * 2**state.refusals
+            )
             state.refusals += 1
 
     @property
     def limits(self) -> LimitWords:
-        """The limits that upstreams have named, by life."""
+        """The rate limits announced by upstreams, by incarnation."""
         return self._limits
 
     def divide_limits(self, part_of: Callable[[str, float], Part]) -> None:
-        """Have each upstream's limit divided, by its address and what it names."""
-        self._part_of = part_of
+        """Set the function that returns this entry's part of an upstream's limit."""
+        self._divide_limit = part_of
 
     def record_limit(self, address: str, limit: float | None, sent_at: float, now: float) -> bool:
-        """Take in the limit that an answer to a request of `sent_at` names; True if it is news."""
-        return self._limits.hear(self._life(address), limit, sent_at, now)
+        """Record the limit in the response to a request sent at `sent_at`; True if it changed."""
+        return self._limits.hear(self._incarnation_key(address), limit, sent_at, now)
 
-    def learn_limits(self, words: list[NamedLimit], now: float) -> None:
-        """Take in the limits that upstreams have told other entries."""
-        for named in words:
+    def learn_limits(self, reports: list[NamedLimit], now: float) -> None:
+        """Merge limits that upstreams announced to other entries."""
+        for named in reports:
             self._limits.learn(named, now)
 
     def part(self, address: str, now: float) -> Part | None:
-        """Return this entry's part of what an upstream takes; None if it names no limit."""
-        return self._allowances.part(self._life(address), now)
+        """Return this entry's part of an upstream's limit; None if it has announced none."""
+        return self._allowances.part(self._incarnation_key(address), now)
 
     def wanted_in(self, address: str, now: float) -> float:
-        """Return the seconds until an upstream that rests, or is at its limit, wants a request."""
-        return max(self.rest_left(address, now), self._allowances.wait(self._life(address), now))
+        """Return the seconds until backoff and rate limit allow a request to an upstream."""
+        return max(
+            self.rest_left(address, now), self._allowances.wait(self._incarnation_key(address), now)
+        )
 
     def take(self, address: str, now: float) -> bool:
-        """Count a request against its upstream's limit; False if it names none."""
-        return self._allowances.take(self._life(address), now)
+        """Count a request against its upstream's limit; False if it has announced none."""
+        return self._allowances.take(self._incarnation_key(address), now)
 
     def give_back(self, address: str) -> None:
-        """Take in that a request which was counted has not been sent."""
-        self._allowances.give_back(self._life(address))
+        """Return the token of a request that was counted but not sent."""
+        self._allowances.give_back(self._incarnation_key(address))
 
     def may_take(self, address: str, now: float) -> bool:
-        """Tell whether an upstream's limit leaves room for one more request from this entry."""
-        return self._allowances.may_send(self._life(address), now)
+        """Return whether an upstream's limit allows one more request from this entry."""
+        return self._allowances.may_send(self._incarnation_key(address), now)
 
     def ask_rest(self, address: str, seconds: float, now: float) -> None:
-        """Take in that an upstream wants nothing from this entry for some time."""
-        self._rests.ask(self._life(address), seconds, now)
+        """Record that an upstream requested a backoff from this entry."""
+        self._backoffs.ask(self._incarnation_key(address), seconds, now)
 
     def rest_left(self, address: str, now: float) -> float:
-        """Return the seconds until an upstream that asked for rest is tried again; else 0."""
-        return self._rests.left(self._life(address), now)
+        """Return the seconds left of an upstream's requested backoff; 0 if there is none."""
+        return self._backoffs.left(self._incarnation_key(address), now)
 
-    def has_resting(self, now: float) -> bool:
-        """Tell whether any upstream rests since it has asked for it."""
-        return bool(self._rests.resting(now))
+    def has_backoffs(self, now: float) -> bool:
+        """Return whether any upstream is in a backoff that it requested."""
+        return bool(self._backoffs.resting(now))
 
     def begin(self, address: str, now: float) -> bool:
-        """Count a request that is being sent; tells whether it is the first after a rest."""
-        return self._rests.begin(self._life(address), now)
+        """Record that a request is sent; return whether it is the trial after a backoff."""
+        return self._backoffs.begin(self._incarnation_key(address), now)
 
-    def end_trial(self, address: str, was_taken: bool) -> None:
-        """Take in how the first request after a rest ended."""
-        self._rests.end_trial(self._life(address), was_taken)
+    def end_trial(self, address: str, was_accepted: bool) -> None:
+        """Record the result of the trial request after a backoff."""
+        self._backoffs.end_trial(self._incarnation_key(address), was_accepted)
 
     def record_failure(self, address: str, peers: list[str], now: float) -> bool:
-        """Note a failed request; True if the upstream is ejected now.
+        """Record a failed request; True if this ejects the upstream.
 
-        `peers` are the upstreams of the same pool; no more than half of them are ejected.
+        `peers` are the upstreams of the same pool; at most half of them are ejected at once.
         """
         state = self._states.get(address)
         if state is None:
@@ -185,13 +189,13 @@
         return True
 
     def record_report(self, address: str, report: LoadReport) -> None:
-        """Take in a load report."""
+        """Store the latest load report of an upstream."""
         state = self._states.get(address)
         if state:
             state.report = report
 
     def mark_leaving(self, address: str) -> bool:
-        """Mark an upstream as leaving, for as long as its incarnation lives; True if it is news."""
+        """Mark the current incarnation of an upstream as leaving; True if it was not marked."""
         state = self._states.get(address)
         if state is None or state.leaving:
             return False
@@ -199,12 +203,12 @@
         return True
 
     def set_drained(self, addresses: set[str]) -> None:
-        """Take over which upstreams the operators' drains cover; ending a drain clears it."""
+        """Replace the set of upstreams that are covered by drains."""
         for address, state in self._states.items():
             state.drained = address in addresses
 
     def record_incarnation(self, address: str, incarnation: str, now: float) -> bool:
-        """Note which life of the upstream answered; a new one starts cold and unmarked."""
+        """Record the incarnation that responded; a new one resets state and starts cold."""
         state = self._states.get(address)
         if state is None or not incarnation or incarnation == state.incarnation:
             return False
@@ -220,11 +224,11 @@
         return True
 
     def choose(self, limits: dict[str, int], now: float) -> str | None:
-        """Pick an upstream with a free slot among `limits`, or None.
+        """Choose an upstream with a free slot among `limits`, or return None.
 
-        Two are drawn at random in proportion to their free slots; the less loaded one is taken.
+        Draws two at random, weighted by free slots, and returns the less loaded of them.
         """
-        free = {a: self._free(a, limit, now) for a, limit in limits.items()}
+        free = {a: self._free_slots(a, limit, now) for a, limit in limits.items()}
         usable = {address: count for address, count in free.items() if count > 0}
         if not usable:
             return None
@@ -232,24 +236,24 @@
         return min(drawn, key=lambda address: self._score(address, limits[address], now))
 
     def is_usable(self, address: str, now: float) -> bool:
-        """Tell whether an upstream is known and may get a request now.
+        """Return whether an upstream may be sent a request now.
 
-        It may not while it leaves, is ejected, rests, or is at the limit that it names.
+        It may not while it is leaving, drained, ejected, backed off, or at its rate limit.
         """
         state = self._states.get(address)
         if state is None or state.leaving or state.drained:
             return False
         if now < max(state.ejected_until, state.rests_until):
             return False
-        life = self._life(address)
-        return self._rests.may_send(life, now) and self._allowances.may_send(life, now)
+        key = self._incarnation_key(address)
+        return self._backoffs.may_send(key, now) and self._allowances.may_send(key, now)
 
-    def _life(self, address: str) -> str:
-        """Return the name of the upstream's present life, as far as its answers tell it."""
+    def _incarnation_key(self, address: str) -> str:
+        """Return `address@incarnation`, with the incarnation last seen in a response."""
         state = self._states.get(address)
         return f"{address}@{state.incarnation}" if state is not None else address
 
-    def _free(self, address: str, limit: int, now: float) -> int:
+    def _free_slots(self, address: str, limit: int, now: float) -> int:
         if not self.is_usable(address, now):
             return 0
         state = self._states[address]
@@ -260,6 +264,6 @@
         return self._states[address].in_flight / max(1, limit)
 
 
-def _address_of(life: str) -> str:
-    """Return the address in the name of a life."""
-    return life.partition("@")[0]
+def _address_of(key: str) -> str:
+    """Return the address of an incarnation key."""
+    return key.partition("@")[0]
--- a/src/finchway/policy/_drains.py
+++ b/src/finchway/policy/_drains.py
@@ -1,4 +1,4 @@
-"""Drains: no new work for what is leaving, and an honest account of what is still in flight."""
+"""Drains: which upstreams and instances get no new requests, and when a drain is complete."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class DrainReport(Struct, frozen=True):
-    """What one entry says of a drain: requests in flight to what is leaving, at its revision."""
+    """One entry's count of requests in flight to the target of a drain."""
 
     drain: str
     in_flight: int
 
 
 class DrainView(Struct, frozen=True):
-    """What the leader knows of a drain from all entries.
+    """The progress of a drain over all entries, as seen by the leader.
 
-    `reports` maps each entry that knows of the drain to its count; `unaware` lists entries that
-    may still send, because they have not said that they know of it.
+    `reports` maps entries that have applied the drain to their requests in flight; `unaware` lists
+    entries that have not confirmed it and may still send.
     """
 
     reports: dict[str, int]
@@ -26,7 +26,7 @@
 
 
 def drained_upstreams(store: ResourceStore) -> dict[str, list[str]]:
-    """Return the addresses of upstreams that drains take out of service, by drain."""
+    """Return the addresses of drained upstreams, by drain."""
     return {
         drain.name: upstreams_of(drain.spec, store)
         for drain in store.of_kind("drain")
@@ -48,9 +48,9 @@
 
 
 def drained_instances(store: ResourceStore) -> set[str]:
-    """Return the names of our own instances that a drain takes out of steering answers.
+    """Return the names of the instances that are excluded from steering answers by drains.
 
-    A drain of an availability zone or a region takes the instances in it along.
+    A drain of an availability zone or a region covers the instances in it.
     """
     zones = {zone.name: zone.spec.region for zone in store.of_kind("zone")}
     drained = set()
@@ -68,10 +68,10 @@
 
 
 def next_drain_status(status: DrainStatus | None, view: DrainView, now_ms: int) -> DrainStatus:
-    """Return the state of a drain after this moment.
+    """Return the next status of a drain.
 
-    It is done only when every entry that could send has said that it knows of the drain and has
-    nothing in flight; an entry that cannot be heard holds it, and the reason names it.
+    A drain is done once every entry that may send has confirmed it and has nothing in flight. An
+    unreachable entry holds it and is named in the reason.
     """
     status = status or DrainStatus()
     started = status.started_ms or now_ms
--- a/src/finchway/policy/_hashing.py
+++ b/src/finchway/policy/_hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes: the same on every instance, in every process and version."""
+"""Stable hashes, identical on every instance and in every process and version."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def position(*parts: str) -> float:
-    """Return where some text lies in [0, 1); a caller keeps its place for good.
+    """Return a stable pseudo-random position in [0, 1) for some text.
 
     position("bays", "10.1.2.0/24")  # the same number everywhere
     """
@@ -19,12 +19,12 @@
 
 
 def rank(key: str, members: Iterable[str]) -> list[str]:
-    """Order members by rendezvous hashing; taking one away leaves the others' order alone."""
+    """Order members by rendezvous hashing; removing one keeps the order of the others."""
     return sorted(members, key=lambda member: _digest(f"{key}\x00{member}"))
 
 
 def rank_weighted(key: str, weights: dict[str, float]) -> list[str]:
-    """Order members by weighted rendezvous hashing; a double weight gets double the keys."""
+    """Order members by weighted rendezvous hashing; double weight attracts double the keys."""
     scores = {
         member: -math.log(max(position(key, member), 1e-18)) / weight
         for member, weight in weights.items()
--- a/src/finchway/policy/_holder.py
+++ b/src/finchway/policy/_holder.py
@@ -1,4 +1,4 @@
-"""An entry's side of capacity shares: what it may have in flight at each upstream now."""
+"""The entry's side of capacity shares: its in-flight limit at each upstream."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Loan(Struct, frozen=True):
-    """Slots lent to one entry until `ttl` seconds after the entry sent its heartbeat."""
+    """Slots lent to one entry, valid until `ttl` seconds after it sent its heartbeat."""
 
     service: str
     region: str
@@ -18,10 +18,10 @@
 
 
 class Demand(Struct, frozen=True):
-    """What an entry wants of a service in a region.
+    """An entry's demand for slots of a service in a region.
 
-    `wanted` counts requests in flight and waiting by rank of priority; `used` counts those in
-    flight at each upstream beyond the entry's floor.
+    `wanted` counts requests in flight and queued by priority rank; `used` counts requests in flight
+    at each upstream beyond the entry's floor.
     """
 
     service: str
@@ -31,10 +31,10 @@
 
 
 class LoanTiming(Struct, frozen=True):
-    """Times of loans in seconds.
+    """Timing of loans, in seconds.
 
-    A loan runs for `ttl`; `margin` allows for clocks that differ. The leader lends an owner's
-    slots for `touch` after it sent an answer that the owner has acknowledged.
+    A loan is valid for `ttl`; `margin` allows for clock drift. The leader lends an owner's slots
+    for `touch` after sending a reply that the owner has acknowledged.
     """
 
     ttl: float = 1.0
@@ -42,24 +42,24 @@
     touch: float = 1.0
 
     def reclaim_after(self, longest_request: float) -> float:
-        """Return how long after its last answered heartbeat an owner takes its slots back."""
+        """Return the time after its last answered heartbeat when an owner reclaims its slots."""
         return self.touch + self.ttl + 2 * self.margin + longest_request
 
 
 class Holder:
-    """One entry's side: its floors, the loans that are still good, and what it owns besides.
+    """Tracks one entry's floors, valid loans and owned slots.
 
-    `started` is when this life of the entry began; an earlier life may have let the leader lend
-    until then.
+    `started` is the start time of this incarnation: the leader may have lent the entry's slots
+    while an earlier incarnation was in contact.
     """
 
     __slots__ = (
-        "_answered",
-        "_both",
-        "_expires",
+        "_last_reply_sent_at",
+        "_limits",
+        "_loans_expire_at",
         "_floors",
         "_loans",
-        "_longest",
+        "_max_request_s",
         "_member",
         "_owned",
         "_timing",
@@ -68,62 +68,64 @@
     def __init__(self, member: str, timing: LoanTiming | None = None, started: float = 0.0) -> None:
         self._member = member
         self._timing = timing or LoanTiming()
-        self._answered = started
+        self._last_reply_sent_at = started
         self._owned: dict[ShareKey, Slots] = {}
-        self._longest: dict[str, float] = {}
+        self._max_request_s: dict[str, float] = {}
         self._floors: dict[ShareKey, Slots] = {}
         self._loans: dict[ShareKey, Slots] = {}
-        self._both: dict[ShareKey, Slots] = {}
-        self._expires = float("-inf")
+        self._limits: dict[ShareKey, Slots] = {}
+        self._loans_expire_at = float("-inf")
 
     def set_shares(self, shares: list[Share], longest: dict[str, float]) -> None:
-        """Take over all shares at a new revision, and the longest request of each service."""
-        self._longest = longest
+        """Apply all shares of a new revision, and the maximum request time of each service."""
+        self._max_request_s = longest
         self._owned = {
             (share.service, share.region): owned_in_force(share, self._member) for share in shares
         }
         self._floors = {
             (share.service, share.region): floors_in_force(share, self._member) for share in shares
         }
-        self._both = {}
+        self._limits = {}
 
     def set_loans(self, loans: list[Loan], sent_at: float) -> None:
-        """Replace all loans by those of an answer to the heartbeat sent at `sent_at`."""
+        """Replace all loans by those in the reply to the heartbeat sent at `sent_at`."""
         self._loans = {(loan.service, loan.region): loan.slots for loan in loans}
         ttl = min((loan.ttl for loan in loans), default=0.0)
-        self._expires = sent_at + ttl
-        self._answered = max(self._answered, sent_at)
-        self._both = {}
+        self._loans_expire_at = sent_at + ttl
+        self._last_reply_sent_at = max(self._last_reply_sent_at, sent_at)
+        self._limits = {}
 
     def floor(self, key: ShareKey) -> Slots:
-        """Return the floors of a service in a region."""
+        """Return the floor slots of a service in a region."""
         return self._floors.get(key, {})
 
     def limits(self, key: ShareKey, now: float) -> Slots:
-        """Return how many requests this entry may have in flight at each upstream now."""
-        if now >= self._expires:
-            if now >= self._answered + self._timing.reclaim_after(self._longest.get(key[0], 0.0)):
+        """Return the in-flight limit of this entry at each upstream."""
+        if now >= self._loans_expire_at:
+            if now >= self._last_reply_sent_at + self._timing.reclaim_after(
+                self._max_request_s.get(key[0], 0.0)
+            ):
                 return self._owned.get(key, {})
             return self._floors.get(key, {})
-        both = self._both.get(key)
-        if both is None:
-            both = dict(self._floors.get(key, {}))
+        combined = self._limits.get(key)
+        if combined is None:
+            combined = dict(self._floors.get(key, {}))
             for address, count in self._loans.get(key, {}).items():
-                both[address] = both.get(address, 0) + count
-            self._both[key] = both
-        return both
+                combined[address] = combined.get(address, 0) + count
+            self._limits[key] = combined
+        return combined
 
     def may_borrow(self, now: float) -> bool:
-        """Tell whether the leader answered lately, so that slots may come with its next answer."""
-        return now - self._answered < self._timing.touch + self._timing.ttl
+        """Return whether the leader replied recently enough that it may lend slots."""
+        return now - self._last_reply_sent_at < self._timing.touch + self._timing.ttl
 
     def fits(self, key: ShareKey, in_flight: Slots, now: float) -> bool:
-        """Tell whether what is in flight is within the limits, so that others may grow."""
+        """Return whether the requests in flight are within the limits."""
         limits = self.limits(key, now)
         return all(count <= limits.get(address, 0) for address, count in in_flight.items())
 
     def used_beyond_floor(self, key: ShareKey, in_flight: Slots) -> Slots:
-        """Return what is in flight at each upstream beyond the floor."""
+        """Return the requests in flight at each upstream beyond the floor."""
         floors = self._floors.get(key, {})
         beyond = {addr: count - floors.get(addr, 0) for addr, count in in_flight.items()}
         return {address: count for address, count in beyond.items() if count > 0}
--- a/src/finchway/policy/_placement.py
+++ b/src/finchway/policy/_placement.py
@@ -1,11 +1,10 @@
-"""Which upstream of a region gets a request: warm for its key, and with room.
+"""Choice of an upstream in a region by cache affinity and load.
 
-Upstreams work faster on keys that they have seen lately and keep a bounded number of them. So each
-key has an order of the upstreams of a region, by rendezvous hashing. The first of the order, the
-key's home, serves it even when it has to wait there for a turn or two: warm work after a short
-wait is done before cold work at once. Only the second of the order relieves it, when a slot is
-free there: beyond them, a surge would bring every key to every upstream, all would forget them,
-and work would stay slow after the surge.
+Upstreams serve cached keys faster and cache a bounded number of them. Each key therefore has an
+order of a region's upstreams, by rendezvous hashing. The first one, the key's home, serves it even
+if it has to queue there briefly, since a cache hit after a short wait is faster than a miss. Only
+the second one takes overflow, and only into a free slot. Further upstreams are not used: under a
+surge every key would reach every upstream and evict the others from its cache.
 
     order = UpstreamOrders().order("17", names)
     chosen = choose_home([candidates[name] for name in order[:HOMES]])
@@ -17,19 +16,19 @@
 
 from finchway.policy._hashing import rank
 
-# Upstreams of a region that serve a key: more make all of them forget (docs/DESIGN.md, "Gateways").
+# Upstreams of a region that serve a key; more would evict each other's keys from the caches.
 HOMES = 2
-# Requests for each slot up to which an upstream takes those of keys that belong elsewhere.
-FILLED = 0.85
-# Requests for each slot up to which an upstream takes those of its own keys: one turn of waiting.
-ADMITTED = 2.0
+# Maximum requests per slot at which an upstream takes requests for keys of other homes.
+MAX_RELIEF_LOAD = 0.85
+# Maximum requests per slot at which an upstream takes requests for its own keys.
+MAX_HOME_LOAD = 2.0
 
 
 class Candidate(Struct):
-    """An upstream that may get the request.
+    """An upstream that may serve a request.
 
-    `busy` is the estimated number of requests at it, from all gateways; `own` are those of this
-    gateway, and `own_most` is its part of what the upstream may have.
+    `busy` is the estimated number of requests in flight from all gateways, `own` the number from
+    this gateway, and `own_most` the limit on the latter.
     """
 
     instance: str
@@ -39,40 +38,38 @@
     own_most: int = 1_000_000
 
     @property
-    def after(self) -> float:
-        """Requests for each slot once this one is there."""
+    def load_after(self) -> float:
+        """Requests per slot including this one."""
         return (self.busy + 1) / max(self.slots, 1)
 
 
 class UpstreamOrders:
-    """The orders of upstreams for keys, remembered up to a bounded number of them."""
+    """Bounded cache of the rendezvous order of upstreams for each key."""
 
     def __init__(self, remembered: int = 20_000) -> None:
-        self._remembered = remembered
+        self._max_orders = remembered
         self._orders: dict[tuple[str, tuple[str, ...]], list[str]] = {}
 
     def order(self, key: str, names: tuple[str, ...]) -> list[str]:
-        """Return the order of upstreams for a key; the same names give the same order."""
-        held = self._orders.get((key, names))
-        if held is None:
-            if len(self._orders) >= self._remembered:
+        """Return the order of upstreams for a key."""
+        cached = self._orders.get((key, names))
+        if cached is None:
+            if len(self._orders) >= self._max_orders:
                 self._orders.clear()
-            held = self._orders[key, names] = rank(key, names)
-        return held
+            cached = self._orders[key, names] = rank(key, names)
+        return cached
 
 
 def choose_home(ordered: list[Candidate], spilled: bool = False) -> Candidate | None:
-    """Return the upstream for a request out of its key's homes, in order; None if all are full.
+    """Return the first candidate of a key's order with room for a request; None if all are full.
 
-    The first takes requests up to `ADMITTED` for each of its slots: what is beyond would wait for
-    longer than its answer is worth. Another one takes a request only while that keeps it at
-    `FILLED` of its slots. A request that `spilled` over from elsewhere is warm nowhere and only
-    takes a free slot.
+    The home takes requests up to `MAX_HOME_LOAD` per slot, the others up to `MAX_RELIEF_LOAD`. A
+    request that `spilled` over from another region is cached nowhere and has no home.
     """
-    for place, candidate in enumerate(ordered):
+    for index, candidate in enumerate(ordered):
         if candidate.own >= candidate.own_most:
             continue
-        is_home = place == 0 and not spilled
-        if candidate.after <= (ADMITTED if is_home else FILLED):
+        is_home = index == 0 and not spilled
+        if candidate.load_after <= (MAX_HOME_LOAD if is_home else MAX_RELIEF_LOAD):
             return candidate
     return None
--- a/src/finchway/policy/_region_health.py
+++ b/src/finchway/policy/_region_health.py
@@ -1,7 +1,7 @@
-"""Whether a region serves at all, as one entry sees it, and how one that does not is tried.
+"""Region-level circuit breaker of one entry, with trial requests to regions that are down.
 
-A region that is down is tried by few requests at a time: the first that succeeds opens it, and a
-region that answers nothing holds no more callers than it has upstreams.
+The first successful trial closes the circuit. A region that does not respond holds at most as many
+trial requests as it has upstreams.
 
     health = RegionHealth()
     health.record_failure("10.0.0.1:80", upstreams=4)
@@ -15,18 +15,18 @@
 
 from msgspec import Struct
 
-# Failures in a row after which a region counts as down.
-FAILURES = 5
-# Upstreams that these must be spread over: half of the region's, at least two and at most five.
-# Else a few broken ones among many close the region for all now and then, by chance.
-FEWEST_FAILED = 2
-MOST_FAILED = 5
-# Seconds after which the next trial may begin although the last one has no answer yet.
-TRIAL_PATIENCE_S = 0.1
+# Consecutive failures after which a region counts as down.
+FAILURE_THRESHOLD = 5
+# These failures must cover half of the region's upstreams, within these bounds, so that a few
+# broken upstreams do not mark the region as down.
+MIN_FAILED_UPSTREAMS = 2
+MAX_FAILED_UPSTREAMS = 5
+# Seconds after which the next trial may start although the previous one is unanswered.
+TRIAL_TIMEOUT_S = 0.1
 
 
 class RegionTrial:
-    """One request that tries a region that is down; it has to be ended, however it goes."""
+    """A trial request to a region that is down; `end` must be called whatever its result."""
 
     __slots__ = ("_health", "began_at")
 
@@ -35,78 +35,89 @@
         self.began_at = began_at
 
     def end(self) -> None:
-        """Make room for the next trial."""
+        """End the trial, so that the next one may start."""
         self._health.end_trial(self)
 
 
 class RegionChoice(Struct, frozen=True):
-    """The regions that may serve a request, best first, and the trial that it is of one, if any."""
+    """The regions that may serve a request, best first, and its region trial, if it is one."""
 
     regions: tuple[str, ...] = ()
     trial: RegionTrial | None = None
 
 
 class RegionHealth:
-    """How requests to one service in one region went.
+    """Health of one service in one region.
 
-    The region is down after a run of failures at several upstreams without any success; a success
-    ends it. Refusals do not count: an upstream that sheds is alive.
+    The region is down after consecutive failures at several upstreams, until the next success.
+    Refusals do not count as failures, since an upstream that sheds load is alive.
     """
 
-    __slots__ = ("_began_at", "_failed", "_needed", "_streak", "_trials")
+    __slots__ = (
+        "_last_trial_at",
+        "_failed_upstreams",
+        "_required_upstreams",
+        "_consecutive_failures",
+        "_trials",
+    )
 
     def __init__(self) -> None:
-        self._streak = 0
-        self._needed = FEWEST_FAILED
-        self._failed: set[str] = set()
+        self._consecutive_failures = 0
+        self._required_upstreams = MIN_FAILED_UPSTREAMS
+        self._failed_upstreams: set[str] = set()
         self._trials: list[RegionTrial] = []
-        self._began_at = float("-inf")
+        self._last_trial_at = float("-inf")
 
     @property
     def is_down(self) -> bool:
         """Whether the region counts as down."""
-        return self._streak >= FAILURES and len(self._failed) >= self._needed
+        return (
+            self._consecutive_failures >= FAILURE_THRESHOLD
+            and len(self._failed_upstreams) >= self._required_upstreams
+        )
 
     @property
     def streak(self) -> int:
-        """How many requests have failed in a row."""
-        return self._streak
+        """The number of consecutive failures."""
+        return self._consecutive_failures
 
     @property
     def failed(self) -> int:
-        """How many upstreams these requests failed at."""
-        return len(self._failed)
+        """The number of upstreams with a failure since the last success."""
+        return len(self._failed_upstreams)
 
     def record_success(self) -> None:
-        """Note a success at any of the region's upstreams."""
-        self._streak = 0
-        self._failed.clear()
+        """Record a success at any of the region's upstreams."""
+        self._consecutive_failures = 0
+        self._failed_upstreams.clear()
 
     def record_failure(self, address: str, upstreams: int) -> None:
-        """Note a failure that says nothing good of one of the region's upstreams."""
-        self._needed = min(MOST_FAILED, max(FEWEST_FAILED, ceil(upstreams / 2)))
-        self._streak += 1
-        self._failed.add(address)
+        """Record a failure at one of the region's upstreams."""
+        self._required_upstreams = min(
+            MAX_FAILED_UPSTREAMS, max(MIN_FAILED_UPSTREAMS, ceil(upstreams / 2))
+        )
+        self._consecutive_failures += 1
+        self._failed_upstreams.add(address)
 
     def reopen(self) -> None:
-        """Open the region for all, until the next failure.
+        """Admit all requests to the region until the next failure.
 
-        An upstream may answer its health well and fail its requests.
+        The failure count is kept, since a healthy upstream may still fail its requests.
         """
-        self._streak = min(self._streak, FAILURES - 1)
+        self._consecutive_failures = min(self._consecutive_failures, FAILURE_THRESHOLD - 1)
 
     def begin_trial(self, now: float, upstreams: int, apart_s: float) -> RegionTrial | None:
-        """Begin a trial if one may begin now, `apart_s` after the last; else None."""
-        if now - self._began_at < apart_s or len(self._trials) >= upstreams:
+        """Start a trial if allowed, at least `apart_s` after the last one; else return None."""
+        if now - self._last_trial_at < apart_s or len(self._trials) >= upstreams:
             return None
-        if any(now - trial.began_at < TRIAL_PATIENCE_S for trial in self._trials):
+        if any(now - trial.began_at < TRIAL_TIMEOUT_S for trial in self._trials):
             return None
         trial = RegionTrial(self, now)
         self._trials.append(trial)
-        self._began_at = now
+        self._last_trial_at = now
         return trial
 
     def end_trial(self, trial: RegionTrial) -> None:
-        """Take in that a trial is over."""
+        """Remove a trial that has ended."""
         if trial in self._trials:
             self._trials.remove(trial)
--- a/src/finchway/policy/_retries.py
+++ b/src/finchway/policy/_retries.py
@@ -1,7 +1,7 @@
-"""Retries: only repeatable requests, within a budget, with time left, on another upstream.
+"""Retry policy: repeatable requests only, within a budget and the caller's deadline.
 
-The budget is a share of recent requests. In an outage of every upstream nothing succeeds, the
-budget runs dry and the load on the upstreams stays near the load that callers offer.
+The budget is a fraction of recent successes. In a full outage it is exhausted, so that retries do
+not amplify the load on the upstreams.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Outcome(Enum):
-    """What is known of a request: it never ran, it ran, or nobody can tell."""
+    """Whether a failed request was executed by the upstream."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -24,7 +24,7 @@
 
 
 class RetryBudget:
-    """Tokens that successes earn and retries spend."""
+    """Token budget that successes refill and retries consume."""
 
     __slots__ = ("_fraction", "_reserve", "_tokens")
 
@@ -34,11 +34,11 @@
         self._tokens = reserve
 
     def earn(self) -> None:
-        """Count a success."""
+        """Refill the budget for one success."""
         self._tokens = min(self._reserve * 4, self._tokens + self._fraction)
 
     def spend(self) -> bool:
-        """Take one retry; False if the budget is dry."""
+        """Take one retry; False if the budget is exhausted."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -46,7 +46,7 @@
 
 
 class Attempt(Struct, frozen=True):
-    """How an attempt failed; `time_left` is what remains until the caller's deadline."""
+    """A failed attempt; `time_left` is the time in seconds until the caller's deadline."""
 
     number: int
     outcome: Outcome
@@ -56,10 +56,10 @@
 
 
 def may_retry(attempt: Attempt, budget: RetryBudget, expected_s: float) -> bool:
-    """Decide whether to try again; takes the retry from the budget if so.
+    """Decide whether to retry, and take the retry from the budget if so.
 
-    A request that certainly did not run may be tried again whatever it is; one whose outcome is
-    unknown only if it is declared repeatable.
+    Any request that was not executed may be retried; one with an unknown outcome only if it is
+    declared repeatable.
     """
     if attempt.number >= MAX_ATTEMPTS or not attempt.body_replayable:
         return False
--- a/src/finchway/policy/_routing.py
+++ b/src/finchway/policy/_routing.py
@@ -1,7 +1,6 @@
-"""Routing: which region serves a caller, and which entries a caller is told to use.
+"""Routing: the region that serves a caller, and the entries in its steering answer.
 
-A caller's place is a stable hash, so that a step of a move takes new callers along and brings
-none back.
+A caller's position is a stable hash, so that each step of a move adds callers and returns none.
 """
 
 from __future__ import annotations
@@ -19,21 +18,21 @@
 
 
 class Caller(Struct, frozen=True):
-    """Who asks: the client block as text, and the organisation."""
+    """The client block and the organisation of a caller."""
 
     block: str
     organisation: str
 
 
 class MoveWeight(Struct, frozen=True):
-    """The committed part of a source region's callers that a move has taken to a target."""
+    """The committed percentage of a region's callers that a move sends to a target."""
 
     target: str
     percent: float
 
 
 class EntryPoint(Struct, frozen=True):
-    """An entry as a steering answer names it."""
+    """An entry in a steering answer."""
 
     instance: str
     address: str
@@ -44,8 +43,8 @@
 class Routes:
     """Routing tables compiled from the resources at one revision.
 
-    `previous` are the tables before it; the client blocks are taken over from them unless they
-    have changed, since building a million of them takes seconds.
+    The client blocks of the `previous` tables are reused if they have not changed, since building
+    a large table takes seconds.
     """
 
     def __init__(self, store: ResourceStore, previous: Routes | None = None) -> None:
@@ -59,7 +58,7 @@
         self._members = {
             share.name: frozenset(share.spec.current.members) for share in store.of_kind("share")
         }
-        self._groups: dict[tuple[str, str], list[list[EntryPoint]]] = {}
+        self._groups_by_share: dict[tuple[str, str], list[list[EntryPoint]]] = {}
         chunks = store.of_kind("client-blocks")
         self._blocks_version = [(chunk.name, chunk.revision) for chunk in chunks]
         if previous is not None and previous._blocks_version == self._blocks_version:
@@ -71,7 +70,7 @@
 
     @property
     def revision(self) -> int:
-        """The revision that the tables stand for."""
+        """The revision of the resources that the tables were compiled from."""
         return self._revision
 
     def region_of_zone(self, zone: str) -> str | None:
@@ -84,13 +83,13 @@
         return self._site_region.get(site, default) if site else default
 
     def distance_ms(self, source: str, target: str) -> float:
-        """Return the one-way time between two regions, as declared in either direction."""
+        """Return the one-way latency between two regions, declared in either direction."""
         if source == target:
             return LOCAL_LATENCY_MS
-        known = self._latency.get(source, {}).get(target)
-        if known is None:
-            known = self._latency.get(target, {}).get(source, UNKNOWN_LATENCY_MS)
-        return known
+        latency_ms = self._latency.get(source, {}).get(target)
+        if latency_ms is None:
+            latency_ms = self._latency.get(target, {}).get(source, UNKNOWN_LATENCY_MS)
+        return latency_ms
 
     def nearest(self, service: str, home: str) -> list[str]:
         """Return the regions that have upstreams of a service, nearest first."""
@@ -107,11 +106,11 @@
     def _follow_moves(self, service: str, region: str, caller: Caller) -> str:
         seen = {region}
         while True:
-            place = caller_position(service, region, caller) * 100
+            percentile = caller_position(service, region, caller) * 100
             for move in self._moves.get((service, region), []):
-                if place < move.percent:
+                if percentile < move.percent:
                     break
-                place -= move.percent
+                percentile -= move.percent
             else:
                 return region
             if move.target in seen:
@@ -120,7 +119,7 @@
             seen.add(region)
 
     def candidates(self, service: str, home: str, caller: Caller) -> list[str]:
-        """Return the regions for a caller: the assigned one, then the others by nearness."""
+        """Return the regions for a caller: the assigned one, then the others by distance."""
         assigned = self.assigned(service, home, caller)
         if assigned is None:
             return []
@@ -128,7 +127,7 @@
         return [assigned, *others]
 
     def move_percent_into(self, service: str, region: str) -> float:
-        """Return the sum of what committed moves have taken into a region."""
+        """Return the total percentage of callers that committed moves send into a region."""
         return sum(
             weight.percent
             for (moved, _), weights in self._moves.items()
@@ -139,15 +138,14 @@
     def steer(self, service: str, home: str, caller: Caller, limit: int = 4) -> list[EntryPoint]:
         """Return the entries for a caller, best first; empty if there is none.
 
-        The members of the assigned region's share come first, spread by weighted rendezvous
-        hashing; then entries elsewhere by nearness. The last one named is always in another
-        region if there is one, so that a caller with a cached answer survives the loss of a
-        whole region.
+        Members of the assigned region's share come first, ordered by rendezvous hashing, then
+        other entries by distance. The last one is in another region if possible, so that a caller
+        with a cached answer survives the loss of a region.
         """
         assigned = self.assigned(service, home, caller) or home
         named: list[EntryPoint] = []
-        for group in self._grouped(service, assigned):
-            # A group is ranked only when it is needed; the loop ends with one of another region.
+        for group in self._entry_groups(service, assigned):
+            # Groups are ranked lazily, until an entry of another region is found.
             ranked = _rank_points(f"{service}\x00{caller.block}", group)
             if len(named) < limit:
                 named += ranked[: limit - len(named)]
@@ -159,18 +157,18 @@
                 break
         return named
 
-    def _grouped(self, service: str, region: str) -> list[list[EntryPoint]]:
-        """Return the entries for a region in groups, best first, worked out once a revision."""
+    def _entry_groups(self, service: str, region: str) -> list[list[EntryPoint]]:
+        """Return the entries for a region in groups, best first; cached per revision."""
         key = (service, region)
-        if key not in self._groups:
+        if key not in self._groups_by_share:
             members = self._members.get(share_name(service, region), frozenset())
             groups: dict[tuple[bool, float, str], list[EntryPoint]] = {}
             for point in self._points:
                 distance = self.distance_ms(region, point.region)
-                place = (point.instance not in members, distance, point.region)
-                groups.setdefault(place, []).append(point)
-            self._groups[key] = [groups[place] for place in sorted(groups)]
-        return self._groups[key]
+                sort_key = (point.instance not in members, distance, point.region)
+                groups.setdefault(sort_key, []).append(point)
+            self._groups_by_share[key] = [groups[sort_key] for sort_key in sorted(groups)]
+        return self._groups_by_share[key]
 
     def _entry_points(self, store: ResourceStore) -> list[EntryPoint]:
         drained = drained_instances(store)
@@ -187,12 +185,12 @@
 
 
 def caller_position(service: str, region: str, caller: Caller) -> float:
-    """Return a caller's stable place in [0, 1) among the callers of a service in a region."""
+    """Return a caller's stable position in [0, 1) among the callers of a service in a region."""
     return position(service, region, caller.block)
 
 
 def client_block(address: str) -> str:
-    """Return the block that stands for a client address: its /24, or the address itself."""
+    """Return the client block of an address: its /24, or the address itself if not IPv4."""
     parts = address.split(".")
     return f"{'.'.join(parts[:3])}.0/24" if len(parts) == 4 else address
 
--- a/src/finchway/policy/_spread.py
+++ b/src/finchway/policy/_spread.py
@@ -1,30 +1,30 @@
-"""How a region's requests for a service are spread over the regions.
+"""Distribution of a region's requests for a service over the regions.
 
-A region serves its own callers as far as its upstreams have room, and passes the rest to regions
-with room to spare. The parts move slowly, so that no shift of traffic exceeds its cap, and each
-gateway works them out alone from the same reports.
+A region serves its own callers up to its capacity and passes the excess to regions with spare
+capacity. The parts change at a bounded rate, so that traffic shifts stay under their cap. Each
+gateway computes them independently from the same reports.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-# Part of all capacity that is taken to be asked for until the demand is known.
-ASSUMED_USE = 0.8
+# Assumed fraction of total capacity in use until the demand is known.
+ASSUMED_UTILISATION = 0.8
 
 
 class RegionLoad(Struct, frozen=True):
-    """What a region's callers ask of a service, and what its upstreams can bear, per second."""
+    """A region's demand for a service and the capacity of its upstreams, in requests per second."""
 
     demand: float
     capacity: float
 
 
 def plan_spread(home: str, loads: dict[str, RegionLoad]) -> dict[str, float]:
-    """Return the parts of the home region's requests that each region should serve.
+    """Return the fraction of the home region's requests that each region should serve.
 
-    What a region passes on is divided by the others' capacity, as far as they have room: a
-    division by room would change with every wave of demand, and each key that moves is slow once.
+    Excess requests are divided in proportion to the other regions' capacity, up to their free
+    capacity. Dividing by free capacity would move keys with every fluctuation of demand.
 
     plan_spread("north", {"north": RegionLoad(90, 60), "south": RegionLoad(30, 60)})
     # {"north": 0.67, "south": 0.33}
@@ -32,48 +32,50 @@
     total = sum(load.capacity for load in loads.values())
     if total <= 0:
         return {home: 1.0}
-    # When all regions together fall short, all are filled above their capacity alike.
+    # If demand exceeds total capacity, all regions are overloaded by the same factor.
     scale = max(1.0, sum(load.demand for load in loads.values()) / total)
     loads = {r: RegionLoad(load.demand, load.capacity * scale) for r, load in loads.items()}
     own = loads.get(home, RegionLoad(0.0, 0.0))
     if own.demand <= own.capacity:
         return {home: 1.0}
-    over = sum(max(0.0, load.demand - load.capacity) for load in loads.values())
+    excess = sum(max(0.0, load.demand - load.capacity) for load in loads.values())
     room = {
         r: load.capacity - load.demand for r, load in loads.items() if load.capacity > load.demand
     }
-    taken = _fill(over, room, {region: loads[region].capacity for region in room})
-    passed = 1.0 - own.capacity / own.demand
-    parts = {region: passed * value / over for region, value in taken.items()}
+    taken = _fill(excess, room, {region: loads[region].capacity for region in room})
+    passed_fraction = 1.0 - own.capacity / own.demand
+    parts = {region: passed_fraction * value / excess for region, value in taken.items()}
     parts[home] = 1.0 - sum(parts.values())
     return parts
 
 
 def _fill(amount: float, room: dict[str, float], weights: dict[str, float]) -> dict[str, float]:
-    """Divide an amount by weight, nowhere above the room; what does not fit is left."""
+    """Divide an amount by weight, up to the room of each region; the excess is dropped."""
     taken = dict.fromkeys(room, 0.0)
-    left = amount
-    open_ones = [region for region in room if room[region] > 0 and weights[region] > 0]
-    while open_ones and left > 1e-9:
-        weight = sum(weights[region] for region in open_ones)
+    remaining = amount
+    open_regions = [region for region in room if room[region] > 0 and weights[region] > 0]
+    while open_regions and remaining > 1e-9:
+        weight = sum(weights[region] for region in open_regions)
         share = min(
-            left / weight,
-            min((room[region] - taken[region]) / weights[region] for region in open_ones),
+            remaining / weight,
+            min((room[region] - taken[region]) / weights[region] for region in open_regions),
         )
-        for region in open_ones:
+        for region in open_regions:
             taken[region] += share * weights[region]
-        left -= share * weight
-        open_ones = [region for region in open_ones if room[region] - taken[region] > 1e-9]
+        remaining -= share * weight
+        open_regions = [region for region in open_regions if room[region] - taken[region] > 1e-9]
     return taken
 
 
 def assume_even_demand(loads: dict[str, RegionLoad], regions: set[str]) -> dict[str, RegionLoad]:
-    """Return loads as they would be if every region asked alike of well-used upstreams.
+    """Return loads with equal demand from every region, for use until the demand is known.
 
-    It is the plan until demand is known: later changes of the parts are bounded, so the first
-    ones must already suit regions that have few upstreams.
+    Later changes of the parts are rate-limited, so the initial ones must already suit regions that
+    have few upstreams.
     """
-    demand = ASSUMED_USE * sum(load.capacity for load in loads.values()) / max(len(regions), 1)
+    demand = (
+        ASSUMED_UTILISATION * sum(load.capacity for load in loads.values()) / max(len(regions), 1)
+    )
     return {
         region: RegionLoad(demand, loads[region].capacity if region in loads else 0.0)
         for region in regions | set(loads)
@@ -83,9 +85,9 @@
 def share_of_flow(
     home: str, own_rate: float, target: str, loads: dict[str, RegionLoad], fellows: int
 ) -> float:
-    """Return one gateway's part of all requests that the regions send to a target region.
+    """Return one gateway's fraction of all requests that are sent to a target region.
 
-    Without any demand yet the gateways, `fellows` in all, count alike.
+    Without any demand it is an equal part among all gateways, `fellows` in number.
     """
     flow = sum(
         load.demand * plan_spread(region, loads).get(target, 0.0)
@@ -99,61 +101,61 @@
 
 
 class Spread:
-    """The parts in use, which follow the plan at a bounded speed."""
+    """The current parts, which follow the plan at a bounded rate."""
 
-    # Part of a region's capacity that must be lost or return for the parts to hurry: a zone of two
-    # or three, not some upstreams that are replaced.
+    # Relative change of a region's capacity that allows fast changes: the loss or return of a zone,
+    # not the replacement of some upstreams.
     CAPACITY_CHANGE = 0.3
-    # Seconds of hurry, and how many times faster the parts move then: all of a region in that time.
-    HURRY_S = 4.0
-    HURRY = 8.0
+    # Duration in seconds and speed-up of fast changes.
+    FAST_DURATION_S = 4.0
+    FAST_FACTOR = 8.0
 
     def __init__(self, home: str, speed: float) -> None:
         self._home = home
         self._speed = speed
         self._capacity: dict[str, float] = {}
-        self._hurry_until = float("-inf")
+        self._fast_until = float("-inf")
         self._parts: dict[str, float] | None = None
-        self._at = float("-inf")
+        self._followed_at = float("-inf")
 
     @property
     def followed_at(self) -> float:
-        """When the parts last followed a plan."""
-        return self._at
+        """The time of the last call of `follow`."""
+        return self._followed_at
 
     @property
     def parts(self) -> dict[str, float]:
-        """The parts in use, by region."""
+        """The current parts, by region."""
         return dict(self._parts or {self._home: 1.0})
 
     def note_capacity(self, capacity: dict[str, float], now: float) -> None:
-        """Take in the regions' capacities; when much of one is lost or returns, the parts hurry.
+        """Record the regions' capacities; a large change allows fast changes of the parts.
 
-        The bound on their speed is for changes of traffic and of some upstreams; when a zone or
-        region is gone, its callers cannot wait for it.
+        When a zone or region fails, its callers cannot wait for the parts to change at the normal
+        rate.
         """
         if not self._capacity:
             self._capacity = dict(capacity)
             return
         regions = set(capacity) | set(self._capacity)
-        if any(self._changed(capacity, region) for region in regions):
+        if any(self._has_changed(capacity, region) for region in regions):
             self._capacity = dict(capacity)
-            self._hurry_until = now + self.HURRY_S
+            self._fast_until = now + self.FAST_DURATION_S
 
-    def _changed(self, capacity: dict[str, float], region: str) -> bool:
-        """Tell whether a region's capacity is another by a large part of the larger value."""
+    def _has_changed(self, capacity: dict[str, float], region: str) -> bool:
+        """Return whether a region's capacity has changed by a large fraction."""
         before, after = self._capacity.get(region, 0.0), capacity.get(region, 0.0)
         return abs(after - before) >= self.CAPACITY_CHANGE * max(before, after, 1.0)
 
     def follow(self, plan: dict[str, float], now: float) -> None:
-        """Move the parts towards a plan, by at most `speed` a second in all."""
+        """Move the parts towards a plan, by at most `speed` per second in total."""
         if self._parts is None:
             self._parts = dict(plan)
-            self._at = now
+            self._followed_at = now
             return
-        speed = self._speed * (self.HURRY if now < self._hurry_until else 1.0)
-        step = speed * max(0.0, now - self._at)
-        self._at = now
+        speed = self._speed * (self.FAST_FACTOR if now < self._fast_until else 1.0)
+        step = speed * max(0.0, now - self._followed_at)
+        self._followed_at = now
         regions = set(plan) | set(self._parts)
         wanted = {r: plan.get(r, 0.0) - self._parts.get(r, 0.0) for r in regions}
         moved = sum(abs(value) for value in wanted.values()) / 2
--- a/src/finchway/policy/_windows.py
+++ b/src/finchway/policy/_windows.py
@@ -1,4 +1,4 @@
-"""Counts over sliding windows of time, and the limits that are kept with them."""
+"""Sliding-window counters, rate meters and limits based on them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WindowCount:
-    """How often something happened within the last `window` seconds."""
+    """Counts events within the last `window` seconds."""
 
     __slots__ = ("_times", "_window")
 
@@ -15,11 +15,11 @@
         self._times: deque[float] = deque()
 
     def add(self, now: float) -> None:
-        """Count one."""
+        """Count one event."""
         self._times.append(now)
 
     def count(self, now: float) -> int:
-        """Return how many fall into the window that ends now."""
+        """Return the number of events in the window that ends now."""
         oldest = now - self._window
         times = self._times
         while times and times[0] <= oldest:
@@ -28,11 +28,11 @@
 
 
 class AttemptBudget:
-    """Bounds arrivals beyond the first of each request, as a gateway's part of a common sum.
+    """Retry budget of one gateway, as its part of a budget of all gateways.
 
-    All gateways together may make `ratio` repeats for each request and `slack` more in a window.
-    The ratio sums up by itself; the slack is divided by the number of gateways. `safety` keeps a
-    part back for gateways that know another number of fellows for a moment.
+    All gateways together may make `ratio` retries per request plus `slack` in a window. Each one
+    applies the ratio to its own requests and an equal part of the slack. `safety` holds back a
+    reserve for times when gateways disagree on their number.
     """
 
     def __init__(self, ratio: float, slack: float, window: float, safety: float = 0.7) -> None:
@@ -43,11 +43,11 @@
         self._repeats = WindowCount(window)
 
     def count_request(self, now: float) -> None:
-        """Count a request's first arrival."""
+        """Count the first attempt of a request."""
         self._requests.add(now)
 
     def spend(self, now: float, gateways: int) -> bool:
-        """Take one repeat; False if this gateway's part is used up."""
+        """Take one retry; False if this gateway's part is exhausted."""
         part = self._ratio * self._requests.count(now) + self._slack / max(gateways, 1)
         if self._repeats.count(now) + 1 > part * self._safety:
             return False
@@ -56,7 +56,7 @@
 
 
 class Pacer:
-    """Lets through at most `rate` a second, with no burst beyond `burst`."""
+    """Token bucket with `rate` tokens per second and a capacity of `burst`."""
 
     __slots__ = ("_at", "_burst", "_rate", "_tokens")
 
@@ -67,12 +67,12 @@
         self._at = float("-inf")
 
     def ready(self, now: float) -> bool:
-        """Tell whether one may pass now."""
+        """Return whether a token is available."""
         self._refill(now)
         return self._tokens >= 1
 
     def take(self, now: float) -> None:
-        """Let one pass."""
+        """Take a token."""
         self._refill(now)
         self._tokens -= 1
 
@@ -84,12 +84,12 @@
 
 
 class RateMeter:
-    """Events a second, smoothed over about `over` seconds."""
+    """Events per second, smoothed over about `over` seconds."""
 
-    __slots__ = ("_count", "_over", "_rate", "_since")
+    __slots__ = ("_count", "_time_constant_s", "_rate", "_since")
 
     def __init__(self, over: float = 1.0) -> None:
-        self._over = over
+        self._time_constant_s = over
         self._rate = 0.0
         self._count = 0
         self._since: float | None = None
@@ -99,35 +99,35 @@
         self._count += 1
 
     def rate(self, now: float) -> float:
-        """Return the rate, folding in what was counted since the last call."""
+        """Return the rate, updated with the events since the last call."""
         if self._since is None:
             self._since = now
             return self._rate
-        passed = now - self._since
-        if passed >= 0.1:
-            weight = min(1.0, passed / self._over)
-            self._rate += weight * (self._count / passed - self._rate)
+        elapsed_s = now - self._since
+        if elapsed_s >= 0.1:
+            weight = min(1.0, elapsed_s / self._time_constant_s)
+            self._rate += weight * (self._count / elapsed_s - self._rate)
             self._count = 0
             self._since = now
         return self._rate
 
 
 class Settled:
-    """Tells when a figure that starts from nothing has stopped growing, and from then on."""
+    """Detects when a growing value has stabilised; the result is final."""
 
-    __slots__ = ("_after", "_grew_at", "_highest", "_is_settled")
+    __slots__ = ("_stable_for_s", "_grew_at", "_highest", "_is_settled")
     GROWTH = 1.25
 
     def __init__(self, after: float) -> None:
-        self._after = after
+        self._stable_for_s = after
         self._highest = 0.0
         self._grew_at = float("inf")
         self._is_settled = False
 
     def note(self, value: float, now: float) -> bool:
-        """Take in the figure; tell whether it has not grown by a quarter for `after` seconds."""
+        """Record the value; return whether it has not grown by a quarter for `after` seconds."""
         if value > self._highest * self.GROWTH:
             self._highest = value
             self._grew_at = now
-        self._is_settled = self._is_settled or now - self._grew_at >= self._after
+        self._is_settled = self._is_settled or now - self._grew_at >= self._stable_for_s
         return self._is_settled
--- a/src/finchway/pushback/__init__.py
+++ b/src/finchway/pushback/__init__.py
@@ -1,30 +1,30 @@
-"""What upstreams ask of whoever sends them requests: rest, so many a second, or nothing new.
+"""Back-pressure from upstreams: backoff, rate limits and leaving marks in response headers.
 
-The entry and the gateway read it from every answer in the same way, and keep to it by the same
-book, so that no answer's words are passed over where nobody thought of them.
+The entry and the gateway use the same parser and state for it, so that it is honoured for every
+response.
 """
 
-from finchway.pushback._allowance import LEAST_RATE, Allowances, Part
-from finchway.pushback._asked import ASKED_NOTHING, Asked, is_own_answer, read_asked
-from finchway.pushback._decimal import read_decimal
-from finchway.pushback._leaving import LeavingLives
-from finchway.pushback._news import LimitNews, LimitsHeard, LimitsKnown
-from finchway.pushback._rests import (
+from finchway.pushback._allowance import MIN_RATE, Allowances, Part
+from finchway.pushback._backoffs import (
+    JITTER_FRACTION,
     LONGEST_REST_S,
-    LONGEST_SPREAD_S,
-    RETURN_SPREAD,
+    MAX_JITTER_S,
     RestBook,
 )
+from finchway.pushback._decimal import read_decimal
+from finchway.pushback._leaving import LeavingLives
+from finchway.pushback._limit_log import LimitNews, LimitsHeard, LimitsKnown
+from finchway.pushback._limit_reports import MOST_LIMITS, LimitWords, NamedLimit
+from finchway.pushback._pushback import ASKED_NOTHING, Asked, is_own_answer, read_asked
 from finchway.pushback._retry_after import read_retry_after
-from finchway.pushback._words import MOST_LIMITS, LimitWords, NamedLimit
 
 __all__ = [
     "ASKED_NOTHING",
-    "LEAST_RATE",
+    "MIN_RATE",
     "LONGEST_REST_S",
-    "LONGEST_SPREAD_S",
+    "MAX_JITTER_S",
     "MOST_LIMITS",
-    "RETURN_SPREAD",
+    "JITTER_FRACTION",
     "Allowances",
     "Asked",
     "LeavingLives",
--- a/src/finchway/pushback/_allowance.py
+++ b/src/finchway/pushback/_allowance.py
@@ -1,4 +1,4 @@
-"""Which requests may go to upstreams that name a limit: this process's part of it, at its pace."""
+"""Enforces this process's part of the rate limits that upstreams announce."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 
 from msgspec import Struct
 
-from finchway.pushback._words import MOST_LIMITS, LimitWords
+from finchway.pushback._limit_reports import MOST_LIMITS, LimitWords
 
-# Requests a second that all processes together send an upstream at least, whatever it names: only
-# an answer tells that a limit has changed or ended.
-LEAST_RATE = 0.2
+# Minimum rate of all processes together in requests per second, whatever the limit: only a response
+# shows that a limit has changed or ended.
+MIN_RATE = 0.2
 
 
 class Part(Struct, frozen=True):
-    """What one process may send of a limit: requests a second, and how many at once at most.
+    """One process's part of a limit: requests per second, and the maximum burst.
 
-    `holders` is among how many processes the limit is divided; a rate of 0 means among others.
+    `holders` is the number of processes that have a part; a rate of 0 means that this process has
+    none.
     """
 
     rate: float
@@ -25,26 +26,26 @@
     holders: int = 1
 
 
-class _Allowance:
-    """How many requests one life may be sent from here now."""
+class _TokenBucket:
+    """Token bucket for requests to one incarnation of an upstream."""
 
-    __slots__ = ("at", "count")
+    __slots__ = ("refilled_at", "tokens")
 
     def __init__(self, count: float, now: float) -> None:
-        self.count = count
-        self.at = now
+        self.tokens = count
+        self.refilled_at = now
 
-    def grow(self, part: Part, now: float) -> None:
-        """Add what has become allowed since the last time."""
-        self.count = min(part.burst, self.count + max(0.0, now - self.at) * part.rate)
-        self.at = max(self.at, now)
+    def refill(self, part: Part, now: float) -> None:
+        """Add the tokens for the time since the last refill."""
+        self.tokens = min(part.burst, self.tokens + max(0.0, now - self.refilled_at) * part.rate)
+        self.refilled_at = max(self.refilled_at, now)
 
 
 class Allowances:
-    """Lets requests through to lives that name a limit, as many as this process's part allows.
+    """Rate limiter for requests to upstreams, by incarnation.
 
-    `part_of` returns the part for a life and its limit at a moment. What names no limit takes
-    anything.
+    `part_of` returns this process's part, given an incarnation, its limit and the time. Without an
+    announced limit, requests are not limited.
     """
 
     def __init__(
@@ -53,59 +54,59 @@
         rng: random.Random,
         part_of: Callable[[str, float, float], Part],
     ) -> None:
-        self._words = words
+        self._reports = words
         self._rng = rng
         self._part_of = part_of
-        self._held: dict[str, _Allowance] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._buckets)
 
-    def part(self, life: str, now: float) -> Part | None:
-        """Return this process's part of what a life takes; None if it names no limit."""
-        rate = self._words.rate(life)
+    def part(self, incarnation: str, now: float) -> Part | None:
+        """Return this process's part of a limit; None if there is no limit."""
+        rate = self._reports.rate(incarnation)
         if rate is None:
-            self._held.pop(life, None)
+            self._buckets.pop(incarnation, None)
             return None
-        return self._part_of(life, rate, now)
+        return self._part_of(incarnation, rate, now)
 
-    def may_send(self, life: str, now: float) -> bool:
-        """Tell whether one more request may go to a life now."""
-        part = self.part(life, now)
-        return part is None or self._grown(life, part, now).count >= 1.0
+    def may_send(self, incarnation: str, now: float) -> bool:
+        """Return whether a request may be sent now."""
+        part = self.part(incarnation, now)
+        return part is None or self._refilled(incarnation, part, now).tokens >= 1.0
 
-    def take(self, life: str, now: float) -> bool:
-        """Count a request that is being sent; False for a life that names no limit."""
-        part = self.part(life, now)
+    def take(self, incarnation: str, now: float) -> bool:
+        """Take a token for a request; False if there is no limit."""
+        part = self.part(incarnation, now)
         if part is None:
             return False
-        self._grown(life, part, now).count -= 1.0
+        self._refilled(incarnation, part, now).tokens -= 1.0
         return True
 
-    def give_back(self, life: str) -> None:
-        """Take in that a request which was counted has not been sent."""
-        held = self._held.get(life)
-        if held is not None:
-            held.count += 1.0
+    def give_back(self, incarnation: str) -> None:
+        """Return the token of a request that was not sent."""
+        bucket = self._buckets.get(incarnation)
+        if bucket is not None:
+            bucket.tokens += 1.0
 
-    def wait(self, life: str, now: float) -> float:
-        """Return the seconds until one more request may go to a life.
+    def wait(self, incarnation: str, now: float) -> float:
+        """Return the seconds until a request may be sent.
 
-        Where this process has no part, that is the time in which the upstream takes one of others.
+        Without a part, this is the mean interval between requests of all processes.
         """
-        part = self.part(life, now)
+        part = self.part(incarnation, now)
         if part is None:
             return 0.0
         if part.rate <= 0:
-            return 1.0 / max(self._words.rate(life) or 0.0, LEAST_RATE)
-        return max(0.0, (1.0 - self._grown(life, part, now).count) / part.rate)
-
-    def _grown(self, life: str, part: Part, now: float) -> _Allowance:
-        held = self._held.get(life)
-        if held is None:
-            if len(self._held) >= MOST_LIMITS:
-                del self._held[next(iter(self._held))]
-            # Holders that began with one request each would send them together.
-            held = self._held[life] = _Allowance(self._rng.random(), now)
-        held.grow(part, now)
-        return held
+            return 1.0 / max(self._reports.rate(incarnation) or 0.0, MIN_RATE)
+        return max(0.0, (1.0 - self._refilled(incarnation, part, now).tokens) / part.rate)
+
+    def _refilled(self, incarnation: str, part: Part, now: float) -> _TokenBucket:
+        bucket = self._buckets.get(incarnation)
+        if bucket is None:
+            if len(self._buckets) >= MOST_LIMITS:
+                del self._buckets[next(iter(self._buckets))]
+            # A random fill avoids that all holders send their first request at once.
+            bucket = self._buckets[incarnation] = _TokenBucket(self._rng.random(), now)
+        bucket.refill(part, now)
+        return bucket
--- a/src/finchway/pushback/_decimal.py
+++ b/src/finchway/pushback/_decimal.py
@@ -1,15 +1,15 @@
-"""Reads a decimal number as headers have it: digits and one point, no sign, no exponent."""
+"""Parses decimal numbers in headers: digits and one point, no sign, no exponent."""
 
 from __future__ import annotations
 
 import re
 
-# Digits on each side of the point of a number that is read at all: no wish needs more.
+# At most nine digits on each side of the point.
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{0,9})?|\.\d{1,9}", re.ASCII)
 
 
 def read_decimal(value: str) -> float | None:
-    """Return a number; None if it is none.
+    """Return the number, or None if the text is not one.
 
     >>> read_decimal(" 7.2 ")
     7.2
--- a/src/finchway/pushback/_leaving.py
+++ b/src/finchway/pushback/_leaving.py
@@ -1,30 +1,28 @@
-"""Which lives of upstreams have said in an answer that they leave."""
+"""The incarnations of upstreams that have announced in a response that they are leaving."""
 
 from __future__ import annotations
 
-# Lives that are remembered; beyond them the one that said so first is forgotten, long after it has
-# ended.
-MOST_LEAVING = 4_096
+# Limit on stored incarnations; the oldest one is dropped first.
+MAX_LEAVING = 4_096
 
 
 class LeavingLives:
-    """The lives that want nothing new, whatever else says that they are ready.
+    """Set of incarnations that accept no new requests, even if reported as ready.
 
-    The word binds for as long as the life lasts, also where no replica can be reached and where
-    its heartbeats go on as before.
+    A leaving mark is final for its incarnation, also while no control replica is reachable.
     """
 
     def __init__(self) -> None:
-        self._lives: dict[str, None] = {}
+        self._incarnations: dict[str, None] = {}
 
-    def __contains__(self, life: str) -> bool:
-        return life in self._lives
+    def __contains__(self, incarnation: str) -> bool:
+        return incarnation in self._incarnations
 
-    def add(self, life: str) -> bool:
-        """Take in that a life leaves; True if it is news."""
-        if life in self._lives:
+    def add(self, incarnation: str) -> bool:
+        """Mark an incarnation as leaving; True if it was not marked."""
+        if incarnation in self._incarnations:
             return False
-        if len(self._lives) >= MOST_LEAVING:
-            del self._lives[next(iter(self._lives))]
-        self._lives[life] = None
+        if len(self._incarnations) >= MAX_LEAVING:
+            del self._incarnations[next(iter(self._incarnations))]
+        self._incarnations[incarnation] = None
         return True
--- a/src/finchway/pushback/_asked.py
+++ b/src/finchway/pushback/_pushback.py
@@ -1,4 +1,4 @@
-"""Reads from an answer's head what its upstream asks of the process that sent the request."""
+"""Parses backoff, rate limit and leaving mark from response headers."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Asked(Struct, frozen=True):
-    """What an answer asks of the process that it was sent to.
+    """What a response requests of the process that receives it.
 
-    `rest_s` is the time for which the upstream wants nothing more from it, and `leaving` tells that
-    it wants nothing new for as long as it lives. `limit` are the requests a second that it takes
-    from all processes together, for as long as it says so; None if it names no limit that can be
-    read. `unread` is a `Retry-After`, and `unread_limit` a limit, that makes no sense.
+    `rest_s` is the requested backoff in seconds, `leaving` marks an upstream that accepts no new
+    requests until it ends, and `limit` is the rate in requests per second that it accepts from all
+    processes together, None without a valid one. `unread` is an invalid `Retry-After` value,
+    `unread_limit` an invalid limit.
     """
 
     rest_s: float = 0.0
@@ -33,7 +33,7 @@
 
 
 def is_own_answer(status: int) -> bool:
-    """Tell whether an answer is of the upstream that was meant: a 421 is whoever's is there now."""
+    """Return whether the intended upstream responded; a 421 is from another one at its address."""
     return status != _MISDIRECTED
 
 
@@ -44,11 +44,10 @@
     limit: bytes,
     now_unix: float,
 ) -> Asked:
-    """Read an answer's head, whose header names are in lower case as `leaving` and `limit` are.
+    """Parse response headers, whose names are in lower case like `leaving` and `limit`.
 
-    Only a 503 asks for rest, whether or not it says that the request was not run: a 429 is meant
-    for the caller. Of several `Retry-After` the longest counts, and of several limits the lowest,
-    since each is a wish. A 421 says nothing of the upstream that was meant.
+    Only a 503 requests a backoff; the `Retry-After` of a 429 is for the caller. The longest
+    `Retry-After` and the lowest limit apply. A 421 is ignored, since another upstream sent it.
     """
     if not is_own_answer(status):
         return ASKED_NOTHING
@@ -67,14 +66,18 @@
             date = value.decode("latin-1")
     if not is_leaving and not retry_after and not limits:
         return ASKED_NOTHING
-    read = [read_retry_after(value, now_unix, date) for value in retry_after]
-    rests = [seconds for seconds in read if seconds is not None]
-    unread = [value for value, seconds in zip(retry_after, read, strict=True) if seconds is None]
+    parsed_retry_after = [read_retry_after(value, now_unix, date) for value in retry_after]
+    backoffs = [seconds for seconds in parsed_retry_after if seconds is not None]
+    invalid = [
+        value
+        for value, seconds in zip(retry_after, parsed_retry_after, strict=True)
+        if seconds is None
+    ]
     rates = [read_decimal(value) for value in limits]
     return Asked(
-        max(rests, default=0.0),
+        max(backoffs, default=0.0),
         is_leaving,
-        unread[0] if unread else "",
+        invalid[0] if invalid else "",
         min((rate for rate in rates if rate is not None), default=None),
         next((v for v, rate in zip(limits, rates, strict=True) if rate is None), None),
     )
--- a/src/finchway/pushback/_retry_after.py
+++ b/src/finchway/pushback/_retry_after.py
@@ -1,4 +1,4 @@
-"""Reads `Retry-After`: seconds, fractions included, or a date."""
+"""Parses `Retry-After`: seconds, with fractions, or a date."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def read_retry_after(value: str, now_unix: float, date: str | None = None) -> float | None:
-    """Return the seconds that a header's value asks for; None if it makes no sense.
+    """Return the delay in seconds; None if the value is invalid.
 
-    A date is counted from the answer's own `date` if it has one, so that the clocks of the two
-    machines need not agree, and from `now_unix` otherwise; one that has passed asks for nothing.
+    A date is relative to the response's own `date`, so that clock skew has no effect, or else to
+    `now_unix`. A date in the past gives 0.
 
         >>> read_retry_after("1.5", 0.0)
         1.5
@@ -25,12 +25,12 @@
     until = _read_date(value)
     if until is None:
         return None
-    said_at = _read_date(date) if date else None
-    return max(0.0, until - (now_unix if said_at is None else said_at))
+    answered_at = _read_date(date) if date else None
+    return max(0.0, until - (now_unix if answered_at is None else answered_at))
 
 
 def _read_date(value: str) -> float | None:
-    """Return a date as Unix seconds; None if it is none."""
+    """Return a date as Unix seconds; None if it is invalid."""
     try:
         date = parsedate_to_datetime(value.strip())
         if date.tzinfo is None:
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -9,7 +9,7 @@
 from finchway.feed import Fellows
 from finchway.policy import part_of_limit
 from finchway.pushback import (
-    LEAST_RATE,
+    MIN_RATE,
     MOST_LIMITS,
     Allowances,
     LimitNews,
@@ -33,9 +33,9 @@
 def test_parts_add_up_to_the_limit_and_their_bursts_to_less_than_an_upstream_bears(count, limit):
     held = parts([f"g{number}" for number in range(count)], "i-1", limit)
     assert 1 <= len(held) == held[0].holders
-    assert sum(part.rate for part in held) == pytest.approx(max(limit, LEAST_RATE))
+    assert sum(part.rate for part in held) == pytest.approx(max(limit, MIN_RATE))
     at_once = sum(part.burst for part in held)
-    assert WINDOW_S * max(limit, LEAST_RATE) + at_once <= borne(limit)
+    assert WINDOW_S * max(limit, MIN_RATE) + at_once <= borne(limit)
 
 
 @given(st.integers(2, 40), st.floats(0.1, 100.0), st.integers(0, 39))
--- a/tests/unit/test_outliers.py
+++ b/tests/unit/test_outliers.py
@@ -1,7 +1,7 @@
 """Upstreams that answer worse than their fellows."""
 
 from finchway.policy import Standing, find_poor
-from finchway.policy._outliers import TRIAL_EVERY_S
+from finchway.policy._outliers import TRIAL_INTERVAL_S
 
 NONE = frozenset()
 
@@ -72,5 +72,5 @@
     held = standing("xxxx")
     assert held.may_try(1.0)
     held.note_trial(1.0)
-    assert not held.may_try(1.0 + 0.9 * TRIAL_EVERY_S)
-    assert held.may_try(1.0 + TRIAL_EVERY_S)
+    assert not held.may_try(1.0 + 0.9 * TRIAL_INTERVAL_S)
+    assert held.may_try(1.0 + TRIAL_INTERVAL_S)
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -32,7 +32,7 @@
     next_move_status,
     recent_percent,
 )
-from finchway.pushback import RETURN_SPREAD, Part
+from finchway.pushback import JITTER_FRACTION, Part
 from finchway.resources import Division, DrainStatus, Move, MoveStatus, Phase, Share
 
 POOL = [f"10.0.0.{n}:80" for n in range(4)]
@@ -117,7 +117,7 @@
             assert made.offer("s", ticket(place, rank), 0.0)[0] is None
         # They take one a second together: whoever would wait for longer is refused.
         decision, _ = made.offer("s", ticket(42, rank=3, deadline=0.2), 0.0)
-        assert isinstance(decision, Refusal) and "take" in decision.reason
+        assert isinstance(decision, Refusal) and "rate limits" in decision.reason
         assert decision.retry_after_s > 0
         decided = [t.sequence for t, d in made.pump(9.0) if isinstance(d, Grant)]
         assert decided[:2] == [number, 41]
@@ -128,7 +128,7 @@
         for address in POOL:
             made.directory.record_limit(address, 2.0, 0.0, 0.0)
         decision, _ = made.offer("s", ticket(1), 0.0)
-        assert isinstance(decision, Refusal) and "take" in decision.reason
+        assert isinstance(decision, Refusal) and "rate limits" in decision.reason
         made.directory.record_limit(POOL[0], None, 0.5, 1.0)
         assert isinstance(made.offer("s", ticket(2), 1.0)[0], Grant)
 
@@ -442,7 +442,7 @@
         self.rest_all(made, 3.0, 0.0)
         refusal, _ = made.offer("s", ticket(1, deadline=2.0), 0.0)
         assert isinstance(refusal, Refusal)
-        assert 3.0 <= refusal.retry_after_s <= 3.0 * (1 + RETURN_SPREAD)
+        assert 3.0 <= refusal.retry_after_s <= 3.0 * (1 + JITTER_FRACTION)
         assert made.offer("s", ticket(2, deadline=10.0), 0.0)[0] is None
 
     def test_whoever_waits_is_refused_once_that_is_known(self):
--- a/tests/unit/test_pushback.py
+++ b/tests/unit/test_pushback.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from finchway.pushback import (
+    JITTER_FRACTION,
     LONGEST_REST_S,
-    LONGEST_SPREAD_S,
+    MAX_JITTER_S,
     MOST_LIMITS,
-    RETURN_SPREAD,
     Asked,
     LeavingLives,
     LimitWords,
@@ -142,9 +142,9 @@
     rests = book()
     rests.ask("i-1", 3.0, 10.0)
     rests.ask("i-1", 1.0, 10.5)
-    assert 2.0 <= rests.left("i-1", 11.0) <= 2.0 + 3.0 * RETURN_SPREAD
+    assert 2.0 <= rests.left("i-1", 11.0) <= 2.0 + 3.0 * JITTER_FRACTION
     rests.ask("i-1", 3.0, 11.0)
-    assert 3.0 <= rests.left("i-1", 11.0) <= 3.0 + 3.0 * RETURN_SPREAD
+    assert 3.0 <= rests.left("i-1", 11.0) <= 3.0 + 3.0 * JITTER_FRACTION
     assert rests.left("i-1@2", 11.0) == 0.0
     assert (rests.resting(11.0), rests.resting(15.0)) == (["i-1"], [])
 
@@ -153,7 +153,7 @@
     rests = book()
     rests.ask("i-1", 1e9, 0.0)
     longest = rests.left("i-1", 0.0)
-    assert LONGEST_REST_S <= longest <= LONGEST_REST_S + LONGEST_SPREAD_S
+    assert LONGEST_REST_S <= longest <= LONGEST_REST_S + MAX_JITTER_S
     for number in range(10_000):
         rests.ask(f"j-{number}", 5.0, 0.0)
     assert len(rests.resting(0.0)) == 4_096
@@ -168,7 +168,7 @@
     rests = book()
     rests.ask("i-1", 2.0, 0.0)
     back_at = rests.left("i-1", 0.0)
-    assert 2.0 <= back_at <= 2.0 * (1 + RETURN_SPREAD)
+    assert 2.0 <= back_at <= 2.0 * (1 + JITTER_FRACTION)
     assert not rests.may_send("i-1", back_at - 0.01)
     assert rests.may_send("i-1", back_at)
     assert rests.begin("i-1", back_at)
