--- a/tests/unit/test_key_map.py
+++ b/tests/unit/test_key_map.py
@@ -1,4 +1,4 @@
-"""Where keys belong: the region's border, the even shares of upstreams, and who agrees on it."""
+"""Assignment of keys to regions and upstreams: boundary, balance and consistency."""
 
 import random
 
@@ -35,16 +35,15 @@
 
 
 @pytest.mark.parametrize("keys", [KEYS, [f"{number:x}" for number in range(27)]])
-def test_two_upstreams_get_about_half_of_the_keys_each(keys):
-    # Brazos quiet-1: hashing alone gave one of Austin's two swap upstreams 19 keys of 27; it
-    # remembers 17, so half of its repeats were slow.
+def test_two_upstreams_get_about_half_of_the_keys_each_whatever_the_hash(keys):
+    # Hashing alone distributes few keys too unevenly for the upstreams' caches.
     for seed in range(50):
         named = [f"{seed}-{key}" for key in keys]
         sizes = [len(held) for held in homes_in(known_keys(named), "north", named).values()]
         assert max(sizes) <= 1.1 * len(keys) / 2 + 2
 
 
-def test_any_first_keys_of_the_order_are_even_too():
+def test_every_prefix_of_the_key_order_is_balanced():
     keys_map = known_keys()
     for part in (0.2, 0.4, 0.6, 0.8):
         keys_map.follow({"north": part, "south": 1 - part}, NAMES, 10 * part)
@@ -53,7 +52,7 @@
         assert max(sizes) <= 1.1 * len(kept) / 2 + 3
 
 
-def test_gateways_that_have_seen_the_same_keys_agree_whatever_came_first():
+def test_gateways_with_the_same_keys_agree_regardless_of_their_arrival_order():
     one = known_keys()
     shuffled = KEYS[:]
     random.Random(1).shuffle(shuffled)
@@ -62,20 +61,20 @@
         assert homes_in(one, region) == homes_in(other, region)
 
 
-def test_most_keys_have_their_place_before_all_are_known():
+def test_most_keys_keep_their_upstream_when_more_keys_are_discovered():
     every, some = known_keys(), known_keys(KEYS[:60])
     for region in NAMES:
         same = [k for k in KEYS[:60] if home_in(every, k, region) == home_in(some, k, region)]
         assert len(same) >= 50
 
 
-def test_where_upstreams_have_few_keys_each_hashing_decides_alone():
+def test_with_few_keys_per_upstream_only_the_hash_decides():
     keys_map = known_keys()
     assert keys_map.home_of(KEYS[0], "west") is None
     assert keys_map.home_of(KEYS[0], "south") is not None
 
 
-def test_when_the_part_shrinks_and_grows_again_keys_come_back_and_none_moves_between_others():
+def test_keys_return_when_the_part_recovers_and_only_keys_at_the_boundary_move():
     keys_map = known_keys(parts={"north": 0.9, "south": 0.05, "west": 0.05})
     before = {key: keys_map.region_of(key) for key in KEYS}
     keys_map.follow({"north": 0.5, "south": 0.25, "west": 0.25}, NAMES, 1.0)
@@ -88,7 +87,7 @@
     assert sum(before[key] != after[key] for key in KEYS) <= 3
 
 
-def test_a_border_that_trembles_moves_no_key():
+def test_small_changes_of_the_boundary_move_no_key():
     keys_map = known_keys(parts={"north": 0.6, "south": 0.4})
     before = [keys_map.region_of(key) for key in KEYS]
     for step in range(1, 20):
@@ -97,7 +96,7 @@
         assert [keys_map.region_of(key) for key in KEYS] == before
 
 
-def test_what_is_sent_follows_the_parts_also_when_one_key_is_hot():
+def test_a_hot_key_is_split_between_regions():
     keys_map = KeyMap("north")
     parts = {"north": 0.6, "south": 0.4}
     sent = []
@@ -114,7 +113,7 @@
     assert [sent.count(region) for region in NAMES] == [50, 30, 20]
 
 
-def test_a_lost_upstream_moves_few_keys_of_the_others():
+def test_the_loss_of_an_upstream_moves_few_keys_of_the_others():
     keys_map = known_keys()
     before = homes_in(keys_map, "south")
     left = NAMES | {"south": NAMES["south"][1:]}
@@ -125,7 +124,7 @@
     assert len(moved) <= len(KEYS) / 6
 
 
-def test_keys_that_nobody_asks_for_are_forgotten():
+def test_unused_keys_expire():
     keys_map = known_keys(times=1)
     keys_map.follow({"north": 1.0}, NAMES, 1.0)
     assert len(keys_map) == len(KEYS)
@@ -135,14 +134,14 @@
     assert keys_map.home_of(KEYS[0], "north") is None
 
 
-def test_a_key_that_is_not_known_yet_goes_where_its_hash_says():
+def test_an_unknown_key_is_placed_by_its_hash():
     keys_map = KeyMap("north")
     keys_map.follow({"north": 0.5, "south": 0.5}, NAMES, 0.0)
     regions = [keys_map.region_of(f"new-{number}") for number in range(400)]
     assert regions.count("south") == pytest.approx(200, abs=40)
 
 
-def test_many_keys_are_left_to_hashing():
+def test_many_keys_are_placed_by_hash_alone():
     many = [str(number) for number in range(2_500)]
     keys_map = known_keys(many, times=1)
     assert keys_map.home_of("7", "north") is None
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -1,4 +1,4 @@
-"""What an upstream takes from all processes: how it is passed on, divided, and kept to."""
+"""Rate limits of upstreams: distribution, division among processes, and enforcement."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 @given(COUNTS, LIMITS)
-def test_parts_add_up_to_the_limit_and_their_bursts_to_less_than_an_upstream_bears(count, limit):
+def test_parts_sum_to_the_limit_and_bursts_stay_within_the_allowance(count, limit):
     held = parts([f"g{number}" for number in range(count)], "i-1", limit)
     assert 1 <= len(held) == held[0].holders
     assert sum(part.rate for part in held) == pytest.approx(max(limit, MIN_RATE))
@@ -39,10 +39,10 @@
 
 
 @given(st.integers(2, 40), st.floats(0.1, 100.0), st.integers(0, 39))
-def test_a_gateway_that_is_replaced_adds_less_than_an_upstream_bears(count, limit, place):
+def test_replacing_a_gateway_stays_within_the_allowance(count, limit, place):
     names = [f"g{number}" for number in range(count)]
     later = [name for name in names if name != f"g{place % count}"] + ["new"]
-    # The worst of both: everyone in either list sends what it may by one of them.
+    # Worst case: each process sends the higher of its parts under both lists.
     found = {}
     for believed in (names, later):
         for name in believed:
@@ -51,12 +51,12 @@
             found[name] = max(rate, part.rate), max(burst, part.burst)
     rate = sum(held[0] for held in found.values())
     at_once = sum(burst for held_rate, burst in found.values() if held_rate)
-    # Lists differ for 2 s at most.
+    # The lists differ for at most half a window.
     sent = WINDOW_S / 2 * rate + WINDOW_S / 2 * limit + at_once
     assert sent <= borne(limit)
 
 
-def test_holders_are_near_ones_and_others_only_where_none_is():
+def test_holders_are_local_processes_and_others_only_if_there_are_none():
     near, everyone = ["g1", "g2"], ["g1", "g2", "g3", "g4"]
     assert part_of_limit("g3", "i-1", 30.0, near, everyone).rate == 0.0
     assert part_of_limit("g3", "i-1", 30.0, [], everyone).rate == 7.5
@@ -68,10 +68,10 @@
     st.integers(1, 30),
     st.lists(st.floats(0.0, 0.5), min_size=1, max_size=300),
 )
-def test_what_is_let_through_in_any_window_is_the_part_and_one_burst(rate, burst, gaps):
-    words = LimitWords()
-    allowances = Allowances(words, random.Random(1), lambda life, limit, now: Part(rate, burst))
-    words.hear("i-1", rate, 0.0, 0.0)
+def test_requests_in_any_window_are_bounded_by_the_part_and_one_burst(rate, burst, gaps):
+    reports = LimitWords()
+    allowances = Allowances(reports, random.Random(1), lambda life, limit, now: Part(rate, burst))
+    reports.hear("i-1", rate, 0.0, 0.0)
     now, sent = 0.0, []
     for gap in gaps:
         now += gap
@@ -81,92 +81,92 @@
     assert most_in_a_window(sent, 0.0) <= WINDOW_S * rate + burst + 1e-6
 
 
-def test_what_is_not_sent_goes_back_and_what_names_no_limit_is_not_counted():
-    words = LimitWords()
-    allowances = Allowances(words, random.Random(1), lambda life, limit, now: Part(0.5, 1.0))
+def test_unsent_requests_return_their_token_and_unlimited_ones_are_not_counted():
+    reports = LimitWords()
+    allowances = Allowances(reports, random.Random(1), lambda life, limit, now: Part(0.5, 1.0))
     assert allowances.may_send("i-1", 0.0)
     assert not allowances.take("i-1", 0.0)
-    words.hear("i-1", 0.5, 0.0, 0.0)
+    reports.hear("i-1", 0.5, 0.0, 0.0)
     allowances.may_send("i-1", 1.0)
     assert allowances.take("i-1", 10.0)
     assert not allowances.may_send("i-1", 10.0)
     assert allowances.wait("i-1", 10.0) == pytest.approx(2.0)
     allowances.give_back("i-1")
     assert allowances.may_send("i-1", 10.0)
-    words.hear("i-1", None, 11.0, 12.0)
+    reports.hear("i-1", None, 11.0, 12.0)
     assert (allowances.part("i-1", 12.0), allowances.wait("i-1", 12.0)) == (None, 0.0)
 
 
-def test_what_is_held_of_lives_that_are_gone_is_bounded():
-    words = LimitWords()
-    allowances = Allowances(words, random.Random(1), lambda life, limit, now: Part(limit))
+def test_state_of_ended_incarnations_is_bounded():
+    reports = LimitWords()
+    allowances = Allowances(reports, random.Random(1), lambda life, limit, now: Part(limit))
     for number in range(MOST_LIMITS + 100):
-        words.hear(f"i-{number}", 1.0, 0.0, 0.0)
+        reports.hear(f"i-{number}", 1.0, 0.0, 0.0)
         allowances.may_send(f"i-{number}", 0.0)
-    assert len(words.limited()) == len(allowances) == MOST_LIMITS
+    assert len(reports.limited()) == len(allowances) == MOST_LIMITS
 
 
-def test_words_reach_whoever_asks_once_and_new_ones_follow():
-    heard, replica = LimitWords(), LimitNews()
-    heard.hear("i-1", 2.5, 0.0, 1.0)
-    assert replica.learn(heard.told(1.2), 1.3)
+def test_each_report_is_delivered_once_and_changes_follow():
+    gateway, replica = LimitWords(), LimitNews()
+    gateway.hear("i-1", 2.5, 0.0, 1.0)
+    assert replica.learn(gateway.told(1.2), 1.3)
     first = replica.since(LimitsKnown(), 1.5)
-    assert [(word.life, word.rate) for word in first.words] == [("i-1", 2.5)]
+    assert [(report.life, report.rate) for report in first.words] == [("i-1", 2.5)]
     assert first.words[0].age == pytest.approx(0.4)
-    assert not replica.learn(heard.told(2.0), 2.1)
+    assert not replica.learn(gateway.told(2.0), 2.1)
     assert replica.since(first.known, 2.2) is None
-    heard.hear("i-1", None, 3.0, 3.1)
-    replica.learn(heard.told(3.2), 3.3)
+    gateway.hear("i-1", None, 3.0, 3.1)
+    replica.learn(gateway.told(3.2), 3.3)
     later = replica.since(first.known, 3.4)
-    assert [(word.life, word.rate) for word in later.words] == [("i-1", None)]
-    # Another replica process numbers its news anew.
+    assert [(report.life, report.rate) for report in later.words] == [("i-1", None)]
+    # Another replica process has its own numbering.
     assert LimitNews().since(later.known, 3.4) is None
     assert len(replica.since(LimitsKnown("another", 99), 3.4).words) == 1
 
 
-def test_an_older_word_changes_nothing_and_what_others_repeat_makes_none_newer():
-    words = LimitWords()
-    words.hear("i-1", 2.0, 0.0, 10.0)
-    assert not words.learn(NamedLimit("i-1", 9.0, 3.0), 11.0)
-    assert not words.learn(NamedLimit("i-1", 2.0, 0.1), 12.0)
-    assert words.age("i-1", 12.0) == 2.0
-    assert words.learn(NamedLimit("i-1", None, 0.5), 12.0)
-    assert words.told(12.0) == []
-    # What was learned from others is not told as heard here.
-    assert not words.learn(NamedLimit("i-2", None, 0.5), 12.0)
-    assert words.told(12.0) == []
+def test_older_reports_are_ignored_and_repeats_do_not_refresh_direct_ones():
+    reports = LimitWords()
+    reports.hear("i-1", 2.0, 0.0, 10.0)
+    assert not reports.learn(NamedLimit("i-1", 9.0, 3.0), 11.0)
+    assert not reports.learn(NamedLimit("i-1", 2.0, 0.1), 12.0)
+    assert reports.age("i-1", 12.0) == 2.0
+    assert reports.learn(NamedLimit("i-1", None, 0.5), 12.0)
+    assert reports.told(12.0) == []
+    # Reports of others are not sent on as direct ones.
+    assert not reports.learn(NamedLimit("i-2", None, 0.5), 12.0)
+    assert reports.told(12.0) == []
 
 
-def test_words_are_told_for_a_while_some_at_a_time_and_new_ones_first():
-    words = LimitWords()
+def test_reports_are_sent_in_batches_for_a_limited_time_new_ones_first():
+    reports = LimitWords()
     for number in range(40):
-        words.hear(f"i-{number:02}", 1.0, 0.0, 1.0)
-    told = [{word.life for word in words.told(1.1 + step / 10)} for step in range(3)]
-    assert [len(lives) for lives in told] == [16, 16, 16]
-    assert len(set.union(*told)) == 40
-    words.hear("i-00", 3.0, 1.5, 1.6)
-    assert words.told(1.7)[0].life == "i-00"
-    assert words.told(30.0) == []
+        reports.hear(f"i-{number:02}", 1.0, 0.0, 1.0)
+    sent = [{report.life for report in reports.told(1.1 + step / 10)} for step in range(3)]
+    assert [len(lives) for lives in sent] == [16, 16, 16]
+    assert len(set.union(*sent)) == 40
+    reports.hear("i-00", 3.0, 1.5, 1.6)
+    assert reports.told(1.7)[0].life == "i-00"
+    assert reports.told(30.0) == []
 
 
-def test_a_replica_forgets_what_nobody_repeats():
+def test_a_replica_drops_reports_that_are_not_repeated():
     replica = LimitNews()
     replica.learn([NamedLimit("i-1", 2.0, 0.0)], 0.0)
     replica.learn([NamedLimit("i-2", 2.0, 0.0)], 100.0)
-    assert [word.life for word in replica.since(LimitsKnown(), 100.0).words] == ["i-2"]
+    assert [report.life for report in replica.since(LimitsKnown(), 100.0).words] == ["i-2"]
 
 
-def test_news_are_bounded_and_the_next_answer_goes_on():
+def test_replies_are_bounded_and_the_next_one_continues():
     replica = LimitNews()
     replica.learn([NamedLimit(f"i-{n}", 1.0, 0.0) for n in range(300)], 0.0)
     known, seen = LimitsKnown(), []
-    while (heard := replica.since(known, 1.0)) is not None:
-        assert len(heard.words) <= 128
-        known, seen = heard.known, seen + [word.life for word in heard.words]
+    while (batch := replica.since(known, 1.0)) is not None:
+        assert len(batch.words) <= 128
+        known, seen = batch.known, seen + [report.life for report in batch.words]
     assert len(seen) == len(set(seen)) == 300
 
 
-def test_a_gateway_that_is_not_named_any_more_counts_for_a_while():
+def test_a_removed_gateway_counts_as_a_peer_for_a_grace_period():
     fellows = Fellows()
     fellows.note({"g1": "north", "g2": "south"}, 0.0)
     fellows.note({"g1": "north"}, 10.0)
--- a/tests/unit/test_outliers.py
+++ b/tests/unit/test_outliers.py
@@ -1,4 +1,4 @@
-"""Upstreams that answer worse than their fellows."""
+"""Detection of upstreams that perform much worse than their peers."""
 
 from finchway.policy import Standing, find_poor
 from finchway.policy._outliers import TRIAL_INTERVAL_S
@@ -17,27 +17,27 @@
     return {name: standing(text) for name, text in outcomes.items()}
 
 
-def test_one_that_is_slow_is_left_out():
+def test_a_slow_upstream_is_an_outlier():
     assert find_poor({"north": region(a="....xxx", b="....", c="....")}, NONE) == {"a"}
 
 
-def test_one_or_two_bad_answers_in_a_row_say_nothing():
+def test_one_or_two_consecutive_bad_outcomes_are_no_outlier():
     assert find_poor({"north": region(a="....xx", b="....", c="....")}, NONE) == NONE
     assert find_poor({"north": region(a="xx", b="", c="")}, NONE) == NONE
 
 
-def test_when_all_are_alike_none_is_left_out():
+def test_if_all_upstreams_are_equally_bad_none_is_an_outlier():
     assert find_poor({"north": region(a="xxxx", b="xxxx", c="x.xx")}, NONE) == NONE
 
 
-def test_it_shows_also_while_two_fifths_are_slow_and_the_others_fail_now_and_then():
-    # Brazos trouble-2: held against the mean of their fellows, 40% slow upstreams were no outliers.
+def test_outliers_are_found_when_two_fifths_are_slow_and_others_fail_occasionally():
+    # Compared with the mean instead of the median, 40% of slow upstreams would not be detected.
     found = region(a="xxxx", b="xxxx", c="xxx.", d="xxxx", e=".x..", f="....", g="..x.", h="....")
     found |= region(i="....", j="...x")
     assert find_poor({"north": found}, NONE) == {"a", "b", "c", "d"}
 
 
-def test_requests_that_are_overdue_count_before_they_end():
+def test_overdue_requests_count_before_they_end():
     found = region(a="....", b="....", c="....")
     found["a"].note_overdue(2)
     assert find_poor({"north": found}, NONE) == NONE
@@ -47,11 +47,11 @@
     assert find_poor({"north": found}, NONE) == NONE
 
 
-def test_what_is_not_known_is_not_held_to_be_well():
+def test_upstreams_without_outcomes_do_not_count_as_healthy():
     assert find_poor({"north": region(a="xxxx", b="", c="")}, NONE) == NONE
 
 
-def test_a_region_keeps_half_of_its_upstreams():
+def test_at_most_half_of_a_region_are_outliers():
     slow = region(a="xxxx", b="xxxx", c="xxxx", d="....")
     others = region(**{f"o{n}": "........" for n in range(9)})
     assert find_poor({"north": slow, "south": others}, NONE) == {"a", "b"}
@@ -59,7 +59,7 @@
     assert find_poor({"north": region(a="xxxx"), "south": others}, NONE) == NONE
 
 
-def test_two_good_answers_bring_it_back():
+def test_two_good_outcomes_end_an_outlier():
     found = region(a="xxxx", b="....", c="....", d="....")
     assert find_poor({"north": found}, NONE) == {"a"}
     found["a"].note(False)
@@ -68,7 +68,7 @@
     assert find_poor({"north": found}, frozenset({"a"})) == NONE
 
 
-def test_it_is_tried_again_now_and_then():
+def test_an_outlier_gets_trial_requests_at_an_interval():
     held = standing("xxxx")
     assert held.may_try(1.0)
     held.note_trial(1.0)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""Placing requests by key, spreading regions, and limits over windows."""
+"""Upstream choice by key, distribution over regions, and windowed limits."""
 
 import pytest
 
@@ -23,7 +23,7 @@
     return [Candidate(name, slots, busy) for name in orders.order(key, names)[:HOMES]]
 
 
-def test_a_key_keeps_to_its_upstream_while_there_is_room():
+def test_a_key_stays_at_its_upstream_while_there_is_room():
     orders = UpstreamOrders()
     first = choose_home(ordered(orders, "17")).instance
     assert choose_home(ordered(orders, "17", busy=2)).instance == first
@@ -40,14 +40,14 @@
         assert [name for name in before if name != "u0"] == after
 
 
-def test_a_key_waits_a_turn_or_two_at_its_home_rather_than_go_where_it_is_not_warm():
+def test_a_key_queues_at_its_home_rather_than_use_a_cold_upstream():
     orders = UpstreamOrders()
     homes = ordered(orders, "17", busy=0)
     homes[0].busy = 11
     assert choose_home(homes) is homes[0]
 
 
-def test_a_full_home_passes_its_keys_only_to_a_free_slot_of_the_next():
+def test_a_full_home_overflows_only_to_a_free_slot_of_the_next():
     orders = UpstreamOrders()
     homes = ordered(orders, "17", busy=4)
     homes[0].busy = 12
@@ -56,7 +56,7 @@
     assert choose_home(homes) is None
 
 
-def test_a_gateway_keeps_to_its_own_part_of_an_upstream():
+def test_a_gateway_respects_its_limit_at_an_upstream():
     orders = UpstreamOrders()
     homes = ordered(orders, "17")
     homes[0].own, homes[0].own_most = 1, 1
@@ -66,7 +66,7 @@
     assert choose_home(homes) is None
 
 
-def test_the_gateways_parts_of_a_region_add_up():
+def test_the_gateways_parts_of_a_region_sum_to_one():
     loads = {"north": RegionLoad(90, 60), "south": RegionLoad(30, 60)}
     north = [share_of_flow("north", 15.0, "south", loads, 9) for _ in range(6)]
     south = [share_of_flow("south", 10.0, "south", loads, 9) for _ in range(3)]
@@ -75,20 +75,20 @@
     assert share_of_flow("north", 0.0, "north", idle, 4) == 0.25
 
 
-def test_a_surge_does_not_bring_every_key_to_every_upstream():
+def test_a_key_has_a_bounded_number_of_upstreams():
     orders = UpstreamOrders()
     assert len(ordered(orders, "17", count=20)) == 2
     assert len(ordered(orders, "17", count=1)) == 1
 
 
-def test_a_request_spills_over_only_to_a_free_slot():
+def test_a_spilled_request_only_takes_a_free_slot():
     orders = UpstreamOrders()
     assert choose_home(ordered(orders, "17", busy=6)) is not None
     assert choose_home(ordered(orders, "17", busy=6), spilled=True) is None
     assert choose_home(ordered(orders, "17", busy=2), spilled=True) is not None
 
 
-def test_parts_hurry_when_capacity_is_lost_and_only_then():
+def test_parts_change_fast_only_after_a_loss_of_capacity():
     spread = Spread("north", speed=0.05)
     spread.note_capacity({"north": 10, "south": 10}, 0.0)
     spread.follow({"north": 1.0}, 10.0)
@@ -100,9 +100,8 @@
     assert spread.parts["south"] == pytest.approx(0.45)
 
 
-def test_parts_do_not_hurry_at_first_nor_when_a_few_upstreams_leave():
-    # Grown quiet-1: 34% of Mindanao's requests changed region in 2 s, since the first capacity
-    # that was known counted as one that had come back.
+def test_parts_do_not_change_fast_at_start_or_when_a_few_upstreams_leave():
+    # The first known capacity must not count as one that has returned.
     spread = Spread("north", speed=0.05)
     spread.follow({"north": 1.0}, 0.0)
     spread.note_capacity({"north": 10, "south": 10}, 0.0)
@@ -113,7 +112,7 @@
     assert spread.parts["south"] == pytest.approx(0.1)
 
 
-def test_a_region_keeps_what_it_can_bear_and_fills_none_above_its_room():
+def test_a_region_keeps_its_capacity_and_fills_no_region_above_its_room():
     loads = {
         "north": RegionLoad(90, 60),
         "south": RegionLoad(30, 60),
@@ -127,7 +126,7 @@
     assert plan_spread("south", loads) == {"south": 1.0}
 
 
-def test_what_is_passed_on_is_divided_alike_while_the_others_demand_waves():
+def test_the_division_of_excess_does_not_follow_the_demand_of_other_regions():
     for south in (10, 20, 30):
         loads = {
             "north": RegionLoad(90, 60),
@@ -138,7 +137,7 @@
         assert parts["south"] == pytest.approx(parts["west"])
 
 
-def test_two_regions_that_pass_on_fill_none_above_its_room_together():
+def test_two_overloaded_regions_together_fill_no_region_above_its_room():
     loads = {
         "north": RegionLoad(90, 60),
         "east": RegionLoad(80, 60),
@@ -150,14 +149,13 @@
         assert passed <= loads[region].capacity - loads[region].demand + 1e-6
 
 
-def test_when_all_are_short_the_parts_still_add_up():
+def test_parts_sum_to_one_when_all_regions_are_overloaded():
     loads = {"north": RegionLoad(200, 60), "south": RegionLoad(70, 60)}
     assert sum(plan_spread("north", loads).values()) == pytest.approx(1)
 
 
-def test_when_all_are_short_none_is_filled_more_than_the_others():
-    # Brazos scale-2, 10 s to 18 s: with all regions above their mark, Austin, the smallest, kept
-    # what did not fit elsewhere, three quarters of its look-ups, and refused most of them.
+def test_overload_of_all_regions_is_distributed_evenly():
+    # The smallest region must not keep all the excess that does not fit elsewhere.
     loads = {
         "north": RegionLoad(200, 47),
         "south": RegionLoad(206, 93),
@@ -178,7 +176,7 @@
     assert plan_spread("north", loads)["north"] == pytest.approx(0.25)
 
 
-def test_parts_move_no_faster_than_allowed():
+def test_parts_change_at_a_bounded_rate():
     spread = Spread("north", speed=0.05)
     spread.follow({"north": 1.0}, 0.0)
     spread.follow({"north": 0.5, "south": 0.5}, 2.0)
@@ -186,7 +184,7 @@
     assert sum(spread.parts.values()) == pytest.approx(1)
 
 
-def test_a_budget_bounds_the_sum_over_gateways():
+def test_retry_budgets_bound_the_sum_over_gateways():
     budgets = [AttemptBudget(0.2, 60, 10.0) for _ in range(12)]
     spent = 0
     for budget in budgets:
@@ -198,7 +196,7 @@
     assert budgets[0].spend(10.5, 12)
 
 
-def test_a_pacer_bounds_each_second():
+def test_a_pacer_bounds_the_rate():
     pacer = Pacer(rate=7.0)
     passed = 0
     for step in range(10_000):
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -1,4 +1,4 @@
-"""The smaller decisions: admission, choice, retries, shifts, drains, the platform list."""
+"""Admission, upstream choice, retries, shifts, drains, and the platform list."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class TestAdmission:
-    def test_better_ranks_are_served_first_and_the_worst_makes_room(self):
+    def test_better_ranks_are_served_first_and_the_worst_is_evicted(self):
         made = gate()
         grants = [made.offer("s", ticket(n), 0.0)[0] for n in range(4)]
         assert all(isinstance(g, Grant) for g in grants)
@@ -67,7 +67,7 @@
             assert made.offer("s", ticket(number, rank), 0.0)[0] is None
         decision, evicted = made.offer("s", ticket(20, 0), 0.0)
         assert decision is None
-        assert [t.sequence for t, _ in evicted] == [12], "the newest of the worst rank goes"
+        assert [t.sequence for t, _ in evicted] == [12], "the newest of the worst rank is evicted"
         decision, _ = made.offer("s", ticket(21, 2), 0.0)
         assert isinstance(decision, Refusal) and decision.retry_after_s > 0
         order = []
@@ -76,14 +76,14 @@
             order += [t.sequence for t, d in made.pump(0.1) if isinstance(d, Grant)]
         assert order == [20, 11, 13, 10]
 
-    def test_what_cannot_meet_its_deadline_is_refused_at_once(self):
+    def test_a_request_that_cannot_meet_its_deadline_is_refused_immediately(self):
         made = gate()
         for number in range(4):
             made.offer("s", ticket(number), 0.0)
         decision, _ = made.offer("s", ticket(9, deadline=0.001), 0.0)
         assert isinstance(decision, Refusal) and "deadline" in decision.reason
 
-    def test_a_waiting_ticket_is_refused_when_its_deadline_passes(self):
+    def test_a_queued_ticket_is_refused_when_its_deadline_passes(self):
         made = gate()
         for number in range(4):
             made.offer("s", ticket(number), 0.0)
@@ -92,10 +92,10 @@
         [(late, decision)] = made.pump(1.0)
         assert late.sequence == 9 and isinstance(decision, Refusal)
 
-    def test_without_slots_and_control_a_request_is_refused_at_once(self):
+    def test_without_slots_and_control_plane_a_request_is_refused_immediately(self):
         made = Gate(Holder("e9"), directory())
         made.set_limit("s", 4)
-        assert made.offer("s", ticket(1), 0.5)[0] is None, "the leader may lend at any moment"
+        assert made.offer("s", ticket(1), 0.5)[0] is None, "the leader may still lend slots"
         decision, _ = made.offer("s", ticket(2), 60.0)
         assert isinstance(decision, Refusal) and "cannot borrow" in decision.reason
 
@@ -103,7 +103,7 @@
         lost = Ticket(1, 0, 10.0, 0.0, ())
         assert isinstance(gate().offer("s", lost, 0.0)[0], Refusal)
 
-    def test_while_upstreams_are_at_their_limits_the_best_rank_waits_and_what_cannot_is_refused(
+    def test_at_rate_limits_the_best_rank_is_served_first_and_late_requests_are_refused(
         self,
     ):
         made = gate()
@@ -115,14 +115,14 @@
         assert number <= len(POOL)
         for place, rank in ((40, 2), (41, 1)):
             assert made.offer("s", ticket(place, rank), 0.0)[0] is None
-        # They take one a second together: whoever would wait for longer is refused.
+        # All upstreams together accept one request per second.
         decision, _ = made.offer("s", ticket(42, rank=3, deadline=0.2), 0.0)
         assert isinstance(decision, Refusal) and "rate limits" in decision.reason
         assert decision.retry_after_s > 0
         decided = [t.sequence for t, d in made.pump(9.0) if isinstance(d, Grant)]
         assert decided[:2] == [number, 41]
 
-    def test_an_entry_without_a_part_of_any_limit_refuses_at_once(self):
+    def test_an_entry_without_a_part_of_any_limit_refuses_immediately(self):
         made = gate()
         made.directory.divide_limits(lambda address, limit: Part(0.0))
         for address in POOL:
@@ -132,7 +132,7 @@
         made.directory.record_limit(POOL[0], None, 0.5, 1.0)
         assert isinstance(made.offer("s", ticket(2), 1.0)[0], Grant)
 
-    def test_a_grant_that_is_not_sent_leaves_its_part_of_the_limit_to_others(self):
+    def test_a_grant_that_is_not_sent_returns_its_rate_limit_token(self):
         made = gate()
         made.directory.divide_limits(
             lambda address, limit: Part(limit if address == POOL[0] else 0.0)
@@ -154,14 +154,14 @@
         made.release(grants[0], 0.1, True)
         assert made.pump(0.1) == [] and made.in_flight == 3
 
-    def test_beyond_the_paid_rate_requests_are_told_apart(self):
+    def test_requests_beyond_the_paid_rate_are_detected(self):
         paid = PaidRate(2.0, 0.0)
         assert [paid.take(0.0) for _ in range(3)] == [True, True, False]
         assert [paid.take(0.5), paid.take(0.5)] == [True, False]
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.lists(st.integers(0, 3), max_size=30))
-    def test_a_queue_never_holds_more_than_its_limit_and_keeps_the_best(self, ranks):
+    def test_a_queue_never_exceeds_its_limit_and_keeps_the_best_tickets(self, ranks):
         queue = WaitingQueue(5)
         for number, rank in enumerate(ranks):
             queue.push(ticket(number, rank))
@@ -173,7 +173,7 @@
 class TestUpstreamChoice:
     limits = dict.fromkeys(POOL, 2)
 
-    def test_the_one_with_fewer_own_requests_of_two_is_taken(self):
+    def test_the_less_loaded_of_two_random_upstreams_is_chosen(self):
         made = directory()
         for number, address in enumerate(POOL):
             made.get(address).in_flight = number
@@ -182,7 +182,7 @@
         counts = [picks.count(address) for address in POOL]
         assert counts == sorted(counts, reverse=True) and counts[0] > 2 * counts[-1]
 
-    def test_a_full_leaving_drained_or_resting_upstream_is_never_taken(self):
+    def test_a_full_leaving_drained_or_backed_off_upstream_is_never_chosen(self):
         made = directory()
         made.get(POOL[0]).in_flight = 2
         made.mark_leaving(POOL[1])
@@ -193,7 +193,7 @@
         assert made.choose(self.limits, 0.06) == POOL[3]
 
     @pytest.mark.parametrize("load", [0.0, 9.0])
-    def test_a_report_true_or_not_moves_no_requests(self, load):
+    def test_a_load_report_does_not_affect_the_choice(self, load):
         silent, told = directory(), directory()
         for address in POOL[:2]:
             told.record_report(address, LoadReport(load, 0.0))
@@ -201,7 +201,7 @@
         without = [silent.choose(limits, 0.0) for _ in range(100)]
         assert [told.choose(limits, 0.0) for _ in range(100)] == without
 
-    def test_a_report_of_good_health_overrides_neither_failures_nor_marks(self):
+    def test_a_healthy_report_overrides_neither_failures_nor_leaving_marks(self):
         made = directory()
         for _ in range(3):
             made.record_failure(POOL[0], POOL, 0.0)
@@ -210,14 +210,14 @@
             made.record_report(address, LoadReport(0.0, 0.0))
         assert not made.is_usable(POOL[0], 0.0) and not made.is_usable(POOL[1], 0.0)
 
-    def test_no_more_than_half_of_a_pool_is_ejected(self):
+    def test_at_most_half_of_a_pool_is_ejected(self):
         made = directory()
         for address in POOL:
             for _ in range(5):
                 made.record_failure(address, POOL, 0.0)
         assert sum(not made.is_usable(address, 0.0) for address in POOL) == 2
 
-    def test_an_ejected_upstream_comes_back_after_a_while_and_longer_each_time(self):
+    def test_ejection_times_grow_exponentially(self):
         made = directory()
         for _ in range(3):
             made.record_failure(POOL[0], POOL, 0.0)
@@ -225,7 +225,7 @@
         made.record_failure(POOL[0], POOL, 2.0)
         assert not made.is_usable(POOL[0], 5.9) and made.is_usable(POOL[0], 6.0)
 
-    def test_a_mark_sticks_to_one_incarnation(self):
+    def test_a_leaving_mark_applies_to_one_incarnation(self):
         made = directory()
         made.record_incarnation(POOL[0], "a", 0.0)
         made.mark_leaving(POOL[0])
@@ -234,7 +234,7 @@
         made.record_incarnation(POOL[0], "b", 2.0)
         assert made.is_usable(POOL[0], 2.0)
 
-    def test_a_cold_upstream_gets_its_share_step_by_step(self):
+    def test_a_cold_upstream_gets_a_growing_part_of_its_limit(self):
         made = Directory(random.Random(1))
         made.sync({POOL[0]: 10.0}, 0.0, warm=True)
         made.sync({POOL[0]: 10.0, POOL[1]: 10.0}, 100.0, warm=False)
@@ -273,15 +273,15 @@
             ({"number": 3}, False),
         ],
     )
-    def test_only_what_is_safe_is_tried_again(self, fields, expected):
+    def test_only_safe_requests_are_retried(self, fields, expected):
         assert may_retry(self.attempt(**fields), RetryBudget(), 0.02) is expected
 
-    def test_in_an_outage_the_budget_runs_dry(self):
+    def test_an_outage_exhausts_the_retry_budget(self):
         budget = RetryBudget()
         allowed = sum(may_retry(self.attempt(), budget, 0.02) for _ in range(1000))
         assert allowed == 5
 
-    def test_the_budget_is_a_part_of_the_successes(self):
+    def test_the_retry_budget_is_a_fraction_of_successes(self):
         budget = RetryBudget()
         while budget.spend():
             pass
@@ -306,7 +306,7 @@
 
 
 class TestShifts:
-    def test_a_move_goes_on_step_by_step_under_half_the_cap(self):
+    def test_a_move_proceeds_in_steps_under_half_the_cap(self):
         status, now_ms, window = None, 0, 10_000
         percents = []
         for now_ms in range(0, 200_000, 1_000):
@@ -314,7 +314,7 @@
             status = next_move_status(MOVE, status, view(recent_percent=recent), now_ms)
             percents.append(status.percent)
         assert percents == sorted(percents) and percents[-1] == 100.0
-        assert percents[window // 1_000 - 1] == 0.0, "it waits for one window first"
+        assert percents[window // 1_000 - 1] == 0.0, "the first step waits for one window"
         for start in range(len(percents) - 10):
             assert percents[start + 9] - percents[start] <= 10.0
         assert status.phase is Phase.DONE
@@ -329,14 +329,14 @@
             ({"accepted_ms": 15_000}, "one window"),
         ],
     )
-    def test_a_move_holds_and_says_why(self, fields, reason):
+    def test_a_held_move_states_its_reason(self, fields, reason):
         status = next_move_status(MOVE, None, view(**fields), 20_000)
         assert status.phase is Phase.HOLDING and reason in status.reason
         assert status.percent == 0.0
         later = next_move_status(MOVE, status, view(), 40_000)
         assert later.phase is Phase.RUNNING and later.percent == 10.0
 
-    def test_a_lower_goal_takes_callers_back_in_steps(self):
+    def test_a_lower_goal_moves_callers_back_in_steps(self):
         back = Move(service="s", source="north", target="south", goal_percent=0.0)
         status = MoveStatus(phase=Phase.DONE, percent=30.0, stepped_ms=1, steps=3)
         status = next_move_status(back, status, view(), 60_000)
@@ -354,7 +354,7 @@
         parts = (regions - 1) * inbound_part(cap, regions, active)
         assert parts + (cap / 2 if active else 0) <= cap + 1e-9
 
-    def test_failover_grows_by_its_part_once_a_window_and_shrinks_likewise(self):
+    def test_failover_grows_and_shrinks_by_one_step_per_window(self):
         ramp = FailoverRamp()
         seen = []
         for now in range(0, 200, 5):
@@ -364,7 +364,7 @@
         for start in range(len(seen) - 5):
             assert abs(seen[start + 5] - seen[start]) <= 10.0
 
-    def test_paid_priorities_fail_over_first_and_callers_keep_their_place(self):
+    def test_better_priorities_fail_over_first_and_callers_stay_failed_over(self):
         ramp = FailoverRamp()
         for number in range(3000):
             ramp.record(number % 3, 0.002)
@@ -386,8 +386,8 @@
         assert not health.is_down
 
     @pytest.mark.parametrize(("upstreams", "failed"), [(2, 2), (4, 2), (7, 4), (10, 5), (40, 5)])
-    def test_a_region_is_down_once_half_of_its_upstreams_fail_or_five(self, upstreams, failed):
-        """A few broken ones among many do not close it, however often they fail in a row."""
+    def test_a_region_is_down_once_half_of_its_upstreams_or_five_fail(self, upstreams, failed):
+        """A few broken upstreams among many must not mark the region as down."""
         health = RegionHealth()
         for number in range(100):
             health.record_failure(str(number % (failed - 1)), upstreams)
@@ -397,7 +397,7 @@
 
 
 class TestDrains:
-    def test_a_drain_is_done_only_when_everyone_knows_and_nothing_is_in_flight(self):
+    def test_a_drain_is_done_once_all_entries_confirmed_it_and_nothing_is_in_flight(self):
         status = next_drain_status(None, DrainView({"e1": 2}, ["e2"]), 10)
         assert status.phase is Phase.PENDING and "e2" in status.reason
         status = next_drain_status(status, DrainView({"e1": 1, "e2": 1}, []), 20)
@@ -410,7 +410,7 @@
 
 
 class TestPlatform:
-    def test_a_mark_survives_lists_that_flip_or_come_late(self):
+    def test_a_leaving_mark_survives_changing_and_late_lists(self):
         platform = PlatformView()
         platform.record(PlatformList(live=["u"], as_of_ms=1))
         platform.record(PlatformList(live=[], leaving=["u"], as_of_ms=2))
@@ -418,7 +418,7 @@
         platform.record(PlatformList(live=["u"], as_of_ms=1))
         assert platform.leaving == {"u"} and not platform.is_gone("u")
 
-    def test_gone_means_absent_from_several_lists_and_back_means_a_new_life(self):
+    def test_gone_means_absent_from_several_lists_and_a_return_is_a_new_incarnation(self):
         platform = PlatformView()
         platform.record(PlatformList(leaving=["u"], as_of_ms=1))
         for number in range(2, 4):
@@ -430,32 +430,32 @@
         assert platform.leaving == frozenset() and not platform.is_gone("u")
 
 
-class TestRests:
-    """Upstreams that ask an entry for rest: they got its repeats every 0.05 s to 0.5 s."""
+class TestBackoffs:
+    """Upstreams that requested a backoff must not receive requests before it ends."""
 
-    def rest_all(self, made: Gate, seconds: float, now: float) -> None:
+    def back_off_all(self, made: Gate, seconds: float, now: float) -> None:
         for address in POOL:
             made._directory.ask_rest(address, seconds, now)
 
-    def test_whoever_cannot_be_served_before_the_rests_end_is_refused_at_once(self):
+    def test_a_request_with_a_deadline_within_all_backoffs_is_refused_immediately(self):
         made = gate()
-        self.rest_all(made, 3.0, 0.0)
+        self.back_off_all(made, 3.0, 0.0)
         refusal, _ = made.offer("s", ticket(1, deadline=2.0), 0.0)
         assert isinstance(refusal, Refusal)
         assert 3.0 <= refusal.retry_after_s <= 3.0 * (1 + JITTER_FRACTION)
         assert made.offer("s", ticket(2, deadline=10.0), 0.0)[0] is None
 
-    def test_whoever_waits_is_refused_once_that_is_known(self):
+    def test_a_queued_request_is_refused_once_backoffs_exceed_its_deadline(self):
         made = gate()
         grants = [made.offer("s", ticket(n), 0.0)[0] for n in range(4)]
         assert made.offer("s", ticket(10, deadline=2.0), 0.0)[0] is None
-        self.rest_all(made, 3.0, 0.1)
+        self.back_off_all(made, 3.0, 0.1)
         made.release(grants[0], 0.1, True)
         ((waiting, refusal),) = made.pump(0.1)
         assert (waiting.sequence, type(refusal)) == (10, Refusal)
         assert made.waiting("s") == 0
 
-    def test_after_a_rest_one_request_goes_first(self):
+    def test_after_a_backoff_one_trial_request_is_sent_first(self):
         made = gate(slots=2)
         for address in POOL[1:]:
             made._directory.mark_leaving(address)
@@ -468,7 +468,7 @@
         ((_, second),) = made.pump(2.1)
         assert isinstance(second, Grant)
 
-    def test_neither_a_success_nor_an_earlier_request_ends_a_rest_but_a_new_life_does(self):
+    def test_only_a_new_incarnation_ends_a_backoff_early(self):
         made = directory()
         made.record_incarnation(POOL[0], "one", 0.0)
         made.ask_rest(POOL[0], 5.0, 0.0)
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing, steering answers, client blocks, hashing: stable, spread, and never a leaving entry."""
+"""Routing, steering answers, client blocks and hashing."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
     return Resource("move", "m", move, 1, 1, status)
 
 
-def test_a_step_of_a_move_takes_new_callers_and_brings_none_back():
+def test_each_step_of_a_move_adds_callers_and_returns_none():
     moved_before: set[str] = set()
     for percent in (0.0, 10.0, 25.0, 60.0, 100.0):
         routes = Routes(store_of(move_to(percent)))
@@ -119,7 +119,7 @@
         moved_before = moved
 
 
-def test_moves_that_go_round_in_a_circle_end():
+def test_cyclic_moves_terminate():
     there = Resource(
         "move",
         "a",
@@ -140,7 +140,7 @@
     assert {routes.assigned("s", "north", c) for c in callers(20)} == {"east"}
 
 
-def test_unchanged_client_blocks_are_taken_over():
+def test_unchanged_client_blocks_are_reused():
     store = store_of()
     first = Routes(store)
     second = Routes(store, first)
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -1,4 +1,4 @@
-"""Capacity shares: floors and loans together never exceed the slots, whatever happens."""
+"""Capacity shares: floors and loans together never exceed the slots."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(division=DIVISIONS)
-def test_every_slot_has_one_owner_and_floors_are_a_part(division):
+def test_every_slot_has_one_owner_and_floors_are_part_of_owned_slots(division):
     total: dict[str, int] = {}
     for member in division.members:
         owned, floor = owned_by(division, member), floor_of(division, member)
@@ -69,8 +69,8 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(old=DIVISIONS, new=DIVISIONS, lagging=st.sets(st.sampled_from(["e1", "e2", "e3"])))
-def test_floors_fit_while_some_entries_still_have_the_old_division(old, new, lagging):
-    """Step one: some use all that they owned, some the smaller of both, some are lent from."""
+def test_slots_are_not_exceeded_while_some_entries_use_the_old_division(old, new, lagging):
+    """First step: some entries use the old division, others the minimum of both."""
     before, between = share(old), share(new, old, 2)
     members = {*old.members, *new.members}
     for address in {*old.slots, *new.slots}:
@@ -83,8 +83,8 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(old=DIVISIONS, new=DIVISIONS, lagging=st.sets(st.sampled_from(["e1", "e2", "e3"])))
-def test_floors_fit_while_some_entries_have_not_grown_yet(old, new, lagging):
-    """Step two: everyone has shrunk; some still use the smaller floors, some the new ones."""
+def test_slots_are_not_exceeded_while_some_entries_have_not_grown(old, new, lagging):
+    """Second step: all entries have shrunk, and only some use the new division."""
     between, after = share(new, old, 2), share(new, None, 2)
     for address in new.slots:
         held = sum(
@@ -95,7 +95,7 @@
 
 
 class Model:
-    """A leader and holders that exchange heartbeats which may be lost; they act on their loans."""
+    """Simulates a leader and holders that exchange heartbeats over a lossy network."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -135,7 +135,7 @@
             self.applied[name] = self.sequence[name]
 
     def work(self, name: str) -> None:
-        """Finish some work, and start as much as the limits allow."""
+        """Finish some requests, and start as many as the limits allow."""
         flight = self.in_flight[name]
         kept = []
         for began, address in self.started[name]:
@@ -163,7 +163,7 @@
     new_leader_at=st.integers(0, 80),
 )
 def test_loans_never_exceed_the_pool(seed, silent, loss, new_leader_at):
-    """Lost answers, holders that fall silent, and a new leader that knows nothing."""
+    """Replies are lost, holders become silent, and a new leader has no state."""
     model = Model(seed)
     model.now = 10.0
     for step in range(100):
@@ -171,31 +171,31 @@
         if step == new_leader_at:
             model.lender = Lender(TIMING, model.now)
         for name in model.holders:
-            quiet = name in silent and 30 <= step < 70
-            if not quiet and model.rng.random() > loss / 2:
+            is_silent = name in silent and 30 <= step < 70
+            if not is_silent and model.rng.random() > loss / 2:
                 model.heartbeat(name, reply_lost=model.rng.random() < loss)
             model.work(name)
             model.check()
 
 
-class ForgetsUse(Lender):
-    """A planted fault: what a holder still uses after its loan is lent again."""
+class IgnoresUseLender(Lender):
+    """Injected fault: slots in use after the end of their loan are lent again."""
 
     def lend(self, holder, demands, *rest):
-        blind = [Demand(d.service, d.region, d.wanted) for d in demands]
-        return super().lend(holder, blind, *rest)
+        without_use = [Demand(d.service, d.region, d.wanted) for d in demands]
+        return super().lend(holder, without_use, *rest)
 
 
-class LendsAtOnce(Lender):
-    """A planted fault: a new leader does not wait for its predecessor's loans to end."""
+class ImmediateLender(Lender):
+    """Injected fault: a new leader does not wait for its predecessor's loans to expire."""
 
     def _may_lend(self, service, longest, now):
         return True
 
 
-@pytest.mark.parametrize("faulty", [ForgetsUse, LendsAtOnce])
-def test_planted_faults_in_lending_are_found(faulty):
-    def play(lender_type, seed: int) -> None:
+@pytest.mark.parametrize("faulty", [IgnoresUseLender, ImmediateLender])
+def test_injected_faults_in_lending_are_detected(faulty):
+    def simulate(lender_type, seed: int) -> None:
         model = Model(seed)
         model.now = 10.0
         model.lender = lender_type(TIMING, 0.0)
@@ -204,20 +204,20 @@
             if step == 50:
                 model.lender = lender_type(TIMING, model.now)
             for name in model.holders:
-                # The guest, which works on loans alone, is not heard by the new leader at first.
+                # The entry without own slots does not reach the new leader at first.
                 if name != "e4" or not 50 <= step < 56:
                     model.heartbeat(name, reply_lost=model.rng.random() < 0.3)
                 model.work(name)
                 model.check()
 
     for seed in range(5):
-        play(Lender, seed)
+        simulate(Lender, seed)
     with pytest.raises(AssertionError, match="in flight at"):
         for seed in range(30):
-            play(faulty, seed)
+            simulate(faulty, seed)
 
 
-def test_without_control_loans_end_and_owners_take_their_slots_back():
+def test_without_a_control_plane_loans_expire_and_owners_reclaim_their_slots():
     model = Model(1)
     model.now = 10.0
     for _ in range(4):
@@ -236,8 +236,8 @@
     assert model.holders["e4"].limits(KEY, reclaimed) == {}
 
 
-def test_an_owner_that_is_out_of_touch_is_not_lent_from():
-    """Its answers are lost, its heartbeats arrive: it will take its slots back."""
+def test_slots_of_an_owner_without_contact_are_not_lent():
+    """Replies to it are lost while its heartbeats arrive, so it will reclaim its slots."""
     model = Model(2)
     model.now = 10.0
     for step in range(60):
@@ -268,13 +268,15 @@
     assert (cheap, paid) == (0, 16)
 
 
-def test_a_division_changes_in_two_steps_and_waits_for_the_silent():
+def test_a_division_changes_in_two_steps_and_waits_for_silent_members():
     old = Division(members=["e1", "e2"], slots={"10.0.0.1:80": 4})
     new = Division(members=["e1", "e2", "e3"], slots={"10.0.0.1:80": 4})
     assert next_division(None, old, set(), set(), set()) == (1, old, Division())
     settled = share(old)
     assert next_division(settled, old, set(), set(), set()) is None
-    assert next_division(settled, new, set(), set(), {"e2"}) is None, "e2 cannot say it shrank"
+    assert (
+        next_division(settled, new, set(), set(), {"e2"}) is None
+    ), "e2 cannot report that it has shrunk"
     assert next_division(settled, new, set(), set(), set()) == (2, new, old)
     between = share(new, old, 2)
     assert next_division(between, new, {"e1", "e2"}, set(), set()) is None
