--- a/tests/unit/test_key_map.py
+++ b/tests/unit/test_key_map.py
@@ -14,7 +14,7 @@
 KEYS = [f"{number:x}" for number in range(79)]
 
 
-def known_keys(keys=KEYS, times=5, names=NAMES, parts=None):
+def known_keys(keys=KEYS, times=5, names=NAMES, parts=None) -> KeyMap:
     keys_map = KeyMap("north")
     for _ in range(times):
         for key in keys:
@@ -23,11 +23,11 @@
     return keys_map
 
 
-def home_in(keys_map, key, region):
+def home_in(keys_map: KeyMap, key, region):
     return keys_map.home_of(key, region) or rank(key, NAMES[region])[0]
 
 
-def homes_in(keys_map, region, keys=KEYS):
+def homes_in(keys_map: KeyMap, region, keys=KEYS):
     homes = {}
     for key in keys:
         homes.setdefault(home_in(keys_map, key, region), []).append(key)
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -24,8 +24,8 @@
 COUNTS = st.integers(1, 80)
 
 
-def parts(names, life, limit):
-    found = [part_of_limit(name, life, limit, names, ()) for name in names]
+def parts(names, incarnation, limit) -> list[Part]:
+    found = [part_of_limit(name, incarnation, limit, names, ()) for name in names]
     return [part for part in found if part.rate > 0]
 
 
--- a/tests/unit/test_local_fraction.py
+++ b/tests/unit/test_local_fraction.py
@@ -8,7 +8,7 @@
 from finchway.policy import KeepLimit
 
 
-def run_limit(limit, seconds, local_misses, remote_misses=0.0, start=0.0, rate=20):
+def run_limit(limit: KeepLimit, seconds, local_misses, remote_misses=0.0, start=0.0, rate=20):
     """Record repeats at a steady rate and return the final limit."""
     rng = random.Random(7)
     for step in range(int(seconds * rate)):
--- a/tests/unit/test_outliers.py
+++ b/tests/unit/test_outliers.py
@@ -6,14 +6,14 @@
 NONE = frozenset()
 
 
-def standing(outcomes):
+def standing(outcomes) -> Standing:
     held = Standing()
     for mark in outcomes:
         held.note(mark == "x")
     return held
 
 
-def region(**outcomes):
+def region(**outcomes) -> dict[str, Standing]:
     return {name: standing(text) for name, text in outcomes.items()}
 
 
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -18,7 +18,7 @@
 )
 
 
-def ordered(orders, key, count=8, busy=0.0, slots=6):
+def ordered(orders: UpstreamOrders, key, count=8, busy=0.0, slots=6) -> list[Candidate]:
     names = tuple(f"u{i}" for i in range(count))
     return [Candidate(name, slots, busy) for name in orders.order(key, names)[:HOMES]]
 
--- a/tests/unit/test_pushback.py
+++ b/tests/unit/test_pushback.py
@@ -26,7 +26,7 @@
 LIMIT = b"takes"
 
 
-def parse(status, *headers):
+def parse(status, *headers) -> Asked:
     return read_asked(status, list(headers), LEAVING, LIMIT, NOW)
 
 
@@ -160,7 +160,7 @@
     assert backoffs.left("i-1", 0.0) == longest
 
 
-def make_backoffs(seed=1):
+def make_backoffs(seed=1) -> RestBook:
     return RestBook(random.Random(seed))
 
 
