--- a/bench/surroundings.py
+++ b/bench/surroundings.py
@@ -16,7 +16,7 @@
 from finchway.exceptions import FinchwayError, TransportError
 from finchway.membership import Coordinator, Heartbeat, LeaseTiming, changes_since
 from finchway.policy import LoanTiming, Outcome
-from finchway.pushback import Asked
+from finchway.pushback import Pushback
 from finchway.state import DeleteResource, PutResource, StateMachine
 from finchway.transport import (
     Changes,
@@ -258,8 +258,8 @@
 
     def facts(self) -> Facts:
         """What the upstream says of itself."""
-        asked = Asked(leaving=self.leaving and not self.misleading)
-        return Facts(self.incarnation, self.report, asked=asked)
+        pushback = Pushback(leaving=self.leaving and not self.misleading)
+        return Facts(self.incarnation, self.report, asked=pushback)
 
 
 class Surroundings(Protocol):
--- a/src/finchway/cli/_client.py
+++ b/src/finchway/cli/_client.py
@@ -28,13 +28,13 @@
     ResourceError,
     UnavailableError,
 )
-from finchway.pushback import RestBook, read_asked
+from finchway.pushback import BackoffTable, read_pushback
 
 _TIMEOUTS = {"connect": 2.0, "read": 10.0, "write": 5.0, "pool": 2.0}
 _TRIES = 12
 _RETRY_S = 0.5
 # Seconds for which the tool leaves a replica alone at most, whatever it asks for: somebody waits.
-_LONGEST_REST_S = 10.0
+_MAX_BACKOFF_S = 10.0
 _FAILED = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
@@ -46,7 +46,7 @@
         self._scheme = "https" if ca_file else "http"
         context = ssl.create_default_context(cafile=ca_file) if ca_file else None
         self._pool = httpcore.ConnectionPool(ssl_context=context)
-        self._rests = RestBook(random.Random())
+        self._backoffs = BackoffTable(random.Random())
         self._headers = [(b"authorization", f"Bearer {credential}".encode())]
 
     def list(self, kind: str) -> Any:
@@ -127,7 +127,7 @@
                 if not isinstance(error, UnavailableError):
                     raise error
                 last = error
-                self._note_asked(address, response)
+                self._record_pushback(address, response)
             if number + 1 < _TRIES:
                 time.sleep(_RETRY_S if number + 1 >= len(self._addresses) else 0)
         raise last
@@ -139,15 +139,15 @@
             for k in range(len(self._addresses))
         ]
         now = time.monotonic()
-        address = min(turn, key=lambda address: self._rests.left(address, now))
-        time.sleep(self._rests.left(address, now))
+        address = min(turn, key=lambda address: self._backoffs.remaining_s(address, now))
+        time.sleep(self._backoffs.remaining_s(address, now))
         return address
 
-    def _note_asked(self, address: str, response: httpcore.Response) -> None:
+    def _record_pushback(self, address: str, response: httpcore.Response) -> None:
         """Take in the rest that a replica asks for, up to what a person at a prompt waits."""
         headers = [(name.lower(), value) for name, value in response.headers]
-        asked = read_asked(response.status, headers, b"", b"", time.time())
-        self._rests.ask(address, min(asked.rest_s, _LONGEST_REST_S), time.monotonic())
+        pushback = read_pushback(response.status, headers, b"", b"", time.time())
+        self._backoffs.start(address, min(pushback.rest_s, _MAX_BACKOFF_S), time.monotonic())
 
 
 def as_error(status: int, content: bytes) -> FinchwayError:
--- a/src/finchway/entry/_call.py
+++ b/src/finchway/entry/_call.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from finchway.policy import Outcome, Refusal
-from finchway.pushback import ASKED_NOTHING, Asked
+from finchway.pushback import NO_PUSHBACK, Pushback
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -62,7 +62,7 @@
     incarnation: str = ""
     load: float | None = None
     not_run: bool = False
-    asked: Asked = ASKED_NOTHING
+    asked: Pushback = NO_PUSHBACK
 
 
 class CallError(Exception):
--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -40,7 +40,7 @@
     may_retry,
     retry_after,
 )
-from finchway.pushback import Asked, is_own_answer
+from finchway.pushback import Pushback, is_own_answer
 from finchway.resources import Service
 
 MAX_BUFFERED_BYTES = 65_536
@@ -381,15 +381,17 @@
         if metadata.asked.unread or metadata.asked.unread_limit is not None:
             self._metrics.count_asked(service, "unreadable")
 
-    def _record_limit(self, service: str, address: str, asked: Asked, sent_at: float) -> None:
+    def _record_limit(self, service: str, address: str, pushback: Pushback, sent_at: float) -> None:
         """Record the rate limit that a response states; an unreadable one is ignored."""
-        if asked.limit is not None:
+        if pushback.limit is not None:
             self._metrics.count_asked(service, "limit")
-        elif asked.unread_limit is not None:
+        elif pushback.unread_limit is not None:
             return
         now = trio.current_time()
-        if self._view.directory.record_limit(address, asked.limit, sent_at, now):
-            limit = "no limit any more" if asked.limit is None else f"{asked.limit:g} a second"
+        if self._view.directory.record_limit(address, pushback.limit, sent_at, now):
+            limit = (
+                "no limit any more" if pushback.limit is None else f"{pushback.limit:g} a second"
+            )
             self._timeline.record(EventKind.UPSTREAM_LIMITED, address, f"names {limit}")
 
     def _record_success(self, address: str) -> None:
--- a/src/finchway/entry/_upstream.py
+++ b/src/finchway/entry/_upstream.py
@@ -16,7 +16,7 @@
 from finchway._clock import WALL
 from finchway.entry._call import Facts, Headers, UpstreamError
 from finchway.policy import Outcome
-from finchway.pushback import read_asked
+from finchway.pushback import read_pushback
 
 _CONNECT_TIMEOUT_S = 1.0
 _KEEPALIVE_S = 30.0
@@ -170,8 +170,8 @@
                 load = _number(value)
             case b"finchway-outcome":
                 not_run = status == 503 and value == b"not-run"
-    asked = read_asked(status, lowered, _LEAVING_HEADER, _LIMIT_HEADER, WALL.now())
-    return Facts(incarnation, load, not_run, asked)
+    pushback = read_pushback(status, lowered, _LEAVING_HEADER, _LIMIT_HEADER, WALL.now())
+    return Facts(incarnation, load, not_run, pushback)
 
 
 def _number(value: bytes) -> float | None:
--- a/src/finchway/gateway/_askings.py
+++ b/src/finchway/gateway/_askings.py
@@ -8,7 +8,7 @@
 
 from finchway._clock import WALL
 from finchway.observe import BeliefChanged, DecisionLog
-from finchway.pushback import Asked, LeavingLives, LimitWords, RestBook
+from finchway.pushback import BackoffTable, LeavingLives, LimitWords, Pushback
 from finchway.registry import Registration
 
 # Seconds by which the clocks of an upstream and this gateway may differ.
@@ -34,25 +34,25 @@
 
     def __init__(self, decisions: DecisionLog, limits: LimitWords) -> None:
         self._decisions = decisions
-        self._rests = RestBook(random.Random())
+        self._backoffs = BackoffTable(random.Random())
         self._leaving = LeavingLives()
         self._limits = limits
         self._latest: dict[str, LatestPushback] = {}
 
     @property
-    def rests(self) -> RestBook:
+    def backoffs(self) -> BackoffTable:
         """The backoffs that upstreams have requested."""
-        return self._rests
+        return self._backoffs
 
     def is_leaving(self, life: str) -> bool:
         """Return whether an incarnation has announced that it leaves."""
         return life in self._leaving
 
-    def note(self, upstream: Registration, pushback: Asked, now: float) -> bool:
+    def note(self, upstream: Registration, pushback: Pushback, now: float) -> bool:
         """Apply and log the pushback of an answer; return whether it newly announces leaving."""
         life = upstream.life
         if pushback.rest_s > 0:
-            self._rests.ask(life, pushback.rest_s, now)
+            self._backoffs.start(life, pushback.rest_s, now)
             self._log(life, "asks for rest", f"its 503: {pushback.rest_s:g} s")
         if pushback.unread:
             self._log(life, "unreadable", f"its retry-after: {pushback.unread[:MAX_LOGGED_CHARS]}")
@@ -71,7 +71,7 @@
             return
         if upstream.born / 1000 > latest.at + MAX_CLOCK_SKEW_S:
             return
-        self._rests.pass_on(latest.life, upstream.life)
+        self._backoffs.carry_over(latest.life, upstream.life)
         self._limits.pass_on(latest.life, upstream.life)
         if latest.life in self._leaving:
             self._leaving.add(upstream.life)
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -33,7 +33,7 @@
 from finchway.gateway._suspects import Clearance, SuspectDesk
 from finchway.gateway._table import UpstreamTable
 from finchway.gateway._task import Choice, Task
-from finchway.pushback import ASKED_NOTHING, is_own_answer, read_asked
+from finchway.pushback import NO_PUSHBACK, is_own_answer, read_pushback
 
 # Range of the random Retry-After of refusals, so that refused callers do not retry together.
 MIN_RETRY_AFTER_S = 0.4
@@ -235,7 +235,7 @@
 
     async def _attempt(self, connection: CallerConnection, task: Task, choice: Choice) -> Outcome:
         record = choice.record
-        task.asked = ASKED_NOTHING
+        task.asked = NO_PUSHBACK
         now = started = trio.current_time()
         reserved = self._table.reserve(record, task.request_id, task.key, now)
         upstream = None
@@ -327,10 +327,12 @@
         """Apply the pushback in the head of an answer."""
         names = self._names
         now = trio.current_time()
-        pushback = read_asked(answer.status, answer.headers, names.leaving, names.limit, WALL.now())
+        pushback = read_pushback(
+            answer.status, answer.headers, names.leaving, names.limit, WALL.now()
+        )
         if is_own_answer(answer.status):
             self._table.limits.note(record.registration.life, pushback, sent_at, now)
-        if pushback is ASKED_NOTHING:
+        if pushback is NO_PUSHBACK:
             return
         task.asked = pushback
         self._table.note_pushback(record, pushback, now)
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -12,7 +12,7 @@
 from finchway.gateway._record import UpstreamRecord
 from finchway.observe import BeliefChanged, DecisionLog, LimitTotals
 from finchway.policy import part_of_limit
-from finchway.pushback import MOST_LIMITS, Allowances, Asked, LimitWords, NamedLimit, Part
+from finchway.pushback import MOST_LIMITS, Allowances, LimitWords, NamedLimit, Part, Pushback
 
 
 class LimitTracker:
@@ -54,7 +54,7 @@
         """Set the callback for answers that name a new or a lower limit."""
         self._on_lowered = note
 
-    def note(self, life: str, pushback: Asked, sent_at: float, now: float) -> None:
+    def note(self, life: str, pushback: Pushback, sent_at: float, now: float) -> None:
         """Apply the limit in an answer to a request sent at `sent_at`, unless unreadable."""
         before = self._named.rate(life)
         if pushback.unread_limit is not None:
--- a/src/finchway/gateway/_role.py
+++ b/src/finchway/gateway/_role.py
@@ -122,7 +122,7 @@
             suspects=len(self._world.steering.suspects),
             reports_waiting=self._reports.waiting,
             reports_dropped=self._reports.dropped,
-            upstreams_resting=len(self._table.rests.resting(now)),
+            upstreams_resting=len(self._table.rests.backed_off(now)),
             limits=self._table.limits.totals(self._table.records, now),
         )
         return self._metrics.render(state)
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -163,7 +163,7 @@
     def _all_in_backoff(self, task: Task, now: float) -> bool:
         """Return whether all upstreams for a request are in a backoff that they requested."""
         return all(
-            self._table.rests.left(record.registration.life, now) > 0
+            self._table.rests.remaining_s(record.registration.life, now) > 0
             for upstreams in self._allowed_regions(task, now).values()
             for record in upstreams.records.values()
         )
@@ -204,14 +204,14 @@
             if name in task.tried:
                 continue
             if not self._table.is_available(record, now):
-                passed_over.resting += rests.left(record.registration.life, now) > 0
+                passed_over.resting += rests.remaining_s(record.registration.life, now) > 0
                 passed_over.at_limit += (
                     self._table.limits.allowances.wait(record.registration.life, now) > 0
                 )
                 continue
             if name in outliers and not record.outlier_state.may_try(now):
                 continue
-            if task.request.more and rests.is_returning(record.registration.life, now):
+            if task.request.more and rests.is_awaiting_trial(record.registration.life, now):
                 # A streamed body cannot be sent again if the trial request is refused.
                 continue
             candidates.append(self._candidate(plan, region, record, now))
@@ -225,7 +225,7 @@
         if chosen.instance in outliers:
             record.outlier_state.note_trial(now)
             reason = ChoiceReason.TRIAL
-        elif rests.is_returning(record.registration.life, now):
+        elif rests.is_awaiting_trial(record.registration.life, now):
             reason = ChoiceReason.RETURN
         elif is_spilled:
             reason = ChoiceReason.OTHER_REGION
@@ -239,7 +239,7 @@
             now - record.reported_at,
             now - self._world.heard_at,
             plan.local_share,
-            rests.left(life, now),
+            rests.remaining_s(life, now),
             passed_over,
             self._table.limits.named.rate(life),
             self._table.limits.named.age(life, now),
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -17,7 +17,7 @@
 from finchway.gateway._reservation import Reservation
 from finchway.observe import BeliefChanged, DecisionLog
 from finchway.policy import Pacer, rank
-from finchway.pushback import Asked, LimitWords, RestBook
+from finchway.pushback import BackoffTable, LimitWords, Pushback
 from finchway.registry import Registration, UpstreamState
 
 # Fraction of the allowed rate sent to a cold upstream, since two gateways may both believe for a
@@ -108,9 +108,9 @@
         return self._opened
 
     @property
-    def rests(self) -> RestBook:
+    def rests(self) -> BackoffTable:
         """The backoffs that upstreams have requested."""
-        return self._pushback.rests
+        return self._pushback.backoffs
 
     @property
     def limits(self) -> LimitTracker:
@@ -189,7 +189,7 @@
             )
         )
 
-    def note_pushback(self, record: UpstreamRecord, pushback: Asked, now: float) -> None:
+    def note_pushback(self, record: UpstreamRecord, pushback: Pushback, now: float) -> None:
         """Apply the pushback of an answer."""
         if self._pushback.note(record.registration, pushback, now):
             self.refresh(now)
@@ -204,7 +204,7 @@
 
     def resting(self, now: float) -> frozenset[str]:
         """Return the upstreams that are in a backoff that they requested."""
-        lives = self.rests.resting(now)
+        lives = self.rests.backed_off(now)
         return frozenset(self._names[life] for life in lives if life in self._names)
 
     def is_available(self, record: UpstreamRecord, now: float) -> bool:
@@ -218,7 +218,7 @@
     def available_in(self, record: UpstreamRecord, now: float) -> float:
         """Return the seconds until an upstream's requested backoff or limit admits a request."""
         life = record.registration.life
-        return max(self.rests.left(life, now), self._limits.allowances.wait(life, now))
+        return max(self.rests.remaining_s(life, now), self._limits.allowances.wait(life, now))
 
     def reserve(self, record: UpstreamRecord, request_id: str, key: str, now: float) -> Reservation:
         """Count a request that is about to be sent."""
@@ -263,7 +263,7 @@
         )
 
     def _still_available(self, reserved: Reservation, now: float) -> bool:
-        if reserved.record.state != IN_USE or self.rests.left(reserved.life, now) > 0:
+        if reserved.record.state != IN_USE or self.rests.remaining_s(reserved.life, now) > 0:
             return False
         if reserved.is_counted:
             return True
--- a/src/finchway/gateway/_task.py
+++ b/src/finchway/gateway/_task.py
@@ -11,7 +11,7 @@
 from finchway.gateway._fingerprint import fingerprint
 from finchway.gateway._http import CallerRequest
 from finchway.gateway._record import UpstreamRecord
-from finchway.pushback import ASKED_NOTHING, Asked, Part
+from finchway.pushback import NO_PUSHBACK, Part, Pushback
 
 
 class CrashEvidence(Struct):
@@ -62,7 +62,7 @@
     is_quarantined: bool = False
     evidence: CrashEvidence = field(default_factory=CrashEvidence)
     digest: str = ""
-    asked: Asked = ASKED_NOTHING
+    asked: Pushback = NO_PUSHBACK
     back_in: float = 0.0
 
     @property
--- a/src/finchway/policy/_choice.py
+++ b/src/finchway/policy/_choice.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from finchway.pushback import Allowances, LimitWords, NamedLimit, Part, RestBook
+from finchway.pushback import Allowances, BackoffTable, LimitWords, NamedLimit, Part
 
 FAILURES_TO_EJECT = 3
 EJECTION_S = 2.0
@@ -58,7 +58,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._backoffs = RestBook(rng)
+        self._backoffs = BackoffTable(rng)
         self._limits = LimitWords()
         self._divide_limit: Callable[[str, float], Part] = lambda address, limit: Part(limit)
         self._allowances = Allowances(
@@ -149,15 +149,15 @@
 
     def ask_rest(self, address: str, seconds: float, now: float) -> None:
         """Record that an upstream requested a backoff from this entry."""
-        self._backoffs.ask(self._incarnation_key(address), seconds, now)
+        self._backoffs.start(self._incarnation_key(address), seconds, now)
 
     def rest_left(self, address: str, now: float) -> float:
         """Return the seconds left of an upstream's requested backoff; 0 if there is none."""
-        return self._backoffs.left(self._incarnation_key(address), now)
+        return self._backoffs.remaining_s(self._incarnation_key(address), now)
 
     def has_backoffs(self, now: float) -> bool:
         """Return whether any upstream is in a backoff that it requested."""
-        return bool(self._backoffs.resting(now))
+        return bool(self._backoffs.backed_off(now))
 
     def begin(self, address: str, now: float) -> bool:
         """Record that a request is sent; return whether it is the trial after a backoff."""
--- a/src/finchway/pushback/__init__.py
+++ b/src/finchway/pushback/__init__.py
@@ -7,26 +7,26 @@
 from finchway.pushback._allowance import MIN_RATE, Allowances, Part
 from finchway.pushback._backoffs import (
     JITTER_FRACTION,
-    LONGEST_REST_S,
+    MAX_BACKOFF_S,
     MAX_JITTER_S,
-    RestBook,
+    BackoffTable,
 )
 from finchway.pushback._decimal import read_decimal
 from finchway.pushback._leaving import LeavingLives
 from finchway.pushback._limit_log import LimitNews, LimitsHeard, LimitsKnown
 from finchway.pushback._limit_reports import MOST_LIMITS, LimitWords, NamedLimit
-from finchway.pushback._pushback import ASKED_NOTHING, Asked, is_own_answer, read_asked
+from finchway.pushback._pushback import NO_PUSHBACK, Pushback, is_own_answer, read_pushback
 from finchway.pushback._retry_after import read_retry_after
 
 __all__ = [
-    "ASKED_NOTHING",
+    "NO_PUSHBACK",
     "MIN_RATE",
-    "LONGEST_REST_S",
+    "MAX_BACKOFF_S",
     "MAX_JITTER_S",
     "MOST_LIMITS",
     "JITTER_FRACTION",
     "Allowances",
-    "Asked",
+    "Pushback",
     "LeavingLives",
     "LimitNews",
     "LimitWords",
@@ -34,9 +34,9 @@
     "LimitsKnown",
     "NamedLimit",
     "Part",
-    "RestBook",
+    "BackoffTable",
     "is_own_answer",
-    "read_asked",
+    "read_pushback",
     "read_decimal",
     "read_retry_after",
 ]
--- a/src/finchway/pushback/_backoffs.py
+++ b/src/finchway/pushback/_backoffs.py
@@ -1,7 +1,7 @@
 """Backoffs that upstreams requested with `Retry-After`, and trial requests after them.
 
-backoffs = RestBook(random.Random())
-backoffs.ask("i-1", 3.0, now)
+backoffs = BackoffTable(random.Random())
+backoffs.start("i-1", 3.0, now)
 backoffs.may_send("i-1", now + 1.0)  # False
 """
 
@@ -10,7 +10,7 @@
 import random
 
 # Upper bound of a backoff, against erroneous values. A restarted upstream has no backoff.
-LONGEST_REST_S = 3_600.0
+MAX_BACKOFF_S = 3_600.0
 # Random jitter after a backoff, as a fraction of it and at most so many seconds, so that processes
 # do not resume at the same time and overload the upstream again.
 JITTER_FRACTION = 0.25
@@ -26,9 +26,9 @@
 
     __slots__ = ("requested_until", "retry_at", "trial_at")
 
-    def __init__(self, asked_until: float, returns_at: float) -> None:
-        self.requested_until = asked_until
-        self.retry_at = returns_at
+    def __init__(self, requested_until: float, retry_at: float) -> None:
+        self.requested_until = requested_until
+        self.retry_at = retry_at
         self.trial_at: float | None = None
 
     def was_accepted(self, now: float) -> bool:
@@ -36,7 +36,7 @@
         return self.trial_at is not None and now - self.trial_at >= TRIAL_ACCEPTED_AFTER_S
 
 
-class RestBook:
+class BackoffTable:
     """The backoffs that upstreams requested of this process, by incarnation.
 
     They are independent of other upstream state: neither a response to an earlier request nor the
@@ -47,9 +47,9 @@
         self._rng = rng
         self._backoffs: dict[str, _Backoff] = {}
 
-    def ask(self, incarnation: str, seconds: float, now: float) -> None:
+    def start(self, incarnation: str, seconds: float, now: float) -> None:
         """Record a requested backoff; the latest end applies."""
-        seconds = min(seconds, LONGEST_REST_S)
+        seconds = min(seconds, MAX_BACKOFF_S)
         if seconds <= 0:
             return
         current = self._backoffs.pop(incarnation, None)
@@ -61,18 +61,18 @@
             del self._backoffs[min(self._backoffs, key=lambda name: self._backoffs[name].retry_at)]
         self._backoffs[incarnation] = _Backoff(until, until + self._rng.uniform(0.0, max_jitter_s))
 
-    def pass_on(self, earlier: str, later: str) -> None:
+    def carry_over(self, earlier: str, later: str) -> None:
         """Copy the backoff of an earlier incarnation to a later one."""
         backoff = self._backoffs.get(earlier)
         if backoff is not None:
             self._backoffs[later] = _Backoff(backoff.requested_until, backoff.retry_at)
 
-    def left(self, incarnation: str, now: float) -> float:
+    def remaining_s(self, incarnation: str, now: float) -> float:
         """Return the seconds left of a backoff, jitter included; 0 without one."""
         backoff = self._backoffs.get(incarnation)
         return max(0.0, backoff.retry_at - now) if backoff is not None else 0.0
 
-    def is_returning(self, incarnation: str, now: float) -> bool:
+    def is_awaiting_trial(self, incarnation: str, now: float) -> bool:
         """Return whether a backoff has ended and no request has been accepted since."""
         backoff = self._backoffs.get(incarnation)
         return backoff is not None and now >= backoff.retry_at and not backoff.was_accepted(now)
@@ -108,7 +108,7 @@
         else:
             backoff.trial_at = None
 
-    def resting(self, now: float) -> list[str]:
+    def backed_off(self, now: float) -> list[str]:
         """Return the incarnations that are in backoff."""
         return [
             incarnation for incarnation, backoff in self._backoffs.items() if backoff.retry_at > now
--- a/src/finchway/pushback/_pushback.py
+++ b/src/finchway/pushback/_pushback.py
@@ -13,7 +13,7 @@
 _MISDIRECTED = 421
 
 
-class Asked(Struct, frozen=True):
+class Pushback(Struct, frozen=True):
     """What a response requests of the process that receives it.
 
     `rest_s` is the requested backoff in seconds, `leaving` marks an upstream that accepts no new
@@ -29,7 +29,7 @@
     unread_limit: str | None = None
 
 
-ASKED_NOTHING = Asked()
+NO_PUSHBACK = Pushback()
 
 
 def is_own_answer(status: int) -> bool:
@@ -37,20 +37,20 @@
     return status != _MISDIRECTED
 
 
-def read_asked(
+def read_pushback(
     status: int,
     headers: Iterable[tuple[bytes, bytes]],
     leaving: bytes,
     limit: bytes,
     now_unix: float,
-) -> Asked:
+) -> Pushback:
     """Parse response headers, whose names are in lower case like `leaving` and `limit`.
 
     Only a 503 requests a backoff; the `Retry-After` of a 429 is for the caller. The longest
     `Retry-After` and the lowest limit apply. A 421 is ignored, since another upstream sent it.
     """
     if not is_own_answer(status):
-        return ASKED_NOTHING
+        return NO_PUSHBACK
     is_leaving = False
     retry_after: list[str] = []
     limits: list[str] = []
@@ -65,7 +65,7 @@
         elif name == b"date":
             date = value.decode("latin-1")
     if not is_leaving and not retry_after and not limits:
-        return ASKED_NOTHING
+        return NO_PUSHBACK
     parsed_retry_after = [read_retry_after(value, now_unix, date) for value in retry_after]
     backoffs = [seconds for seconds in parsed_retry_after if seconds is not None]
     invalid = [
@@ -74,7 +74,7 @@
         if seconds is None
     ]
     rates = [read_decimal(value) for value in limits]
-    return Asked(
+    return Pushback(
         max(backoffs, default=0.0),
         is_leaving,
         invalid[0] if invalid else "",
--- a/tests/unit/test_pushback.py
+++ b/tests/unit/test_pushback.py
@@ -10,14 +10,14 @@
 
 from finchway.pushback import (
     JITTER_FRACTION,
-    LONGEST_REST_S,
+    MAX_BACKOFF_S,
     MAX_JITTER_S,
     MOST_LIMITS,
-    Asked,
+    BackoffTable,
     LeavingLives,
     LimitWords,
-    RestBook,
-    read_asked,
+    Pushback,
+    read_pushback,
     read_retry_after,
 )
 
@@ -26,8 +26,8 @@
 LIMIT = b"takes"
 
 
-def parse(status, *headers) -> Asked:
-    return read_asked(status, list(headers), LEAVING, LIMIT, NOW)
+def parse(status, *headers) -> Pushback:
+    return read_pushback(status, list(headers), LEAVING, LIMIT, NOW)
 
 
 @pytest.mark.parametrize(
@@ -83,14 +83,14 @@
 
 
 def test_only_a_503_requests_a_backoff():
-    assert parse(503, (b"retry-after", b"3")) == Asked(rest_s=3.0)
+    assert parse(503, (b"retry-after", b"3")) == Pushback(rest_s=3.0)
     for status in (200, 301, 421, 429, 500, 502):
-        assert parse(status, (b"retry-after", b"3")) == Asked()
+        assert parse(status, (b"retry-after", b"3")) == Pushback()
 
 
 def test_the_longest_retry_after_applies_and_invalid_ones_are_reported():
     found = parse(503, (b"retry-after", b"1"), (b"retry-after", b"nan"), (b"retry-after", b"2"))
-    assert found == Asked(rest_s=2.0, unread="nan")
+    assert found == Pushback(rest_s=2.0, unread="nan")
 
 
 def test_any_response_of_the_intended_upstream_may_carry_a_leaving_mark():
@@ -104,13 +104,13 @@
 def test_any_response_of_the_intended_upstream_may_announce_a_limit():
     for status in (200, 204, 404, 429, 500, 503):
         assert parse(status, (LIMIT, b" 7.2 ")).limit == 7.2
-    assert parse(421, (LIMIT, b"7.2")) == Asked()
+    assert parse(421, (LIMIT, b"7.2")) == Pushback()
     assert parse(200, (LIMIT, b"0")).limit == 0.0
 
 
 def test_the_lowest_limit_applies_and_invalid_ones_are_reported():
     found = parse(200, (LIMIT, b"3"), (LIMIT, b"-1"), (LIMIT, b"2.5"))
-    assert found == Asked(limit=2.5, unread_limit="-1")
+    assert found == Pushback(limit=2.5, unread_limit="-1")
     for value in (b"nan", b"1,2", b"1e3", b"", b"Mon, 23 Nov 2026 00:00:00 GMT"):
         assert parse(200, (LIMIT, value)).limit is None
         assert parse(200, (LIMIT, value)).unread_limit == value.decode()
@@ -140,34 +140,34 @@
 
 def test_the_latest_end_of_a_backoff_applies():
     backoffs = make_backoffs()
-    backoffs.ask("i-1", 3.0, 10.0)
-    backoffs.ask("i-1", 1.0, 10.5)
-    assert 2.0 <= backoffs.left("i-1", 11.0) <= 2.0 + 3.0 * JITTER_FRACTION
-    backoffs.ask("i-1", 3.0, 11.0)
-    assert 3.0 <= backoffs.left("i-1", 11.0) <= 3.0 + 3.0 * JITTER_FRACTION
-    assert backoffs.left("i-1@2", 11.0) == 0.0
-    assert (backoffs.resting(11.0), backoffs.resting(15.0)) == (["i-1"], [])
+    backoffs.start("i-1", 3.0, 10.0)
+    backoffs.start("i-1", 1.0, 10.5)
+    assert 2.0 <= backoffs.remaining_s("i-1", 11.0) <= 2.0 + 3.0 * JITTER_FRACTION
+    backoffs.start("i-1", 3.0, 11.0)
+    assert 3.0 <= backoffs.remaining_s("i-1", 11.0) <= 3.0 + 3.0 * JITTER_FRACTION
+    assert backoffs.remaining_s("i-1@2", 11.0) == 0.0
+    assert (backoffs.backed_off(11.0), backoffs.backed_off(15.0)) == (["i-1"], [])
 
 
 def test_the_length_and_number_of_backoffs_are_bounded():
     backoffs = make_backoffs()
-    backoffs.ask("i-1", 1e9, 0.0)
-    longest = backoffs.left("i-1", 0.0)
-    assert LONGEST_REST_S <= longest <= LONGEST_REST_S + MAX_JITTER_S
+    backoffs.start("i-1", 1e9, 0.0)
+    longest = backoffs.remaining_s("i-1", 0.0)
+    assert MAX_BACKOFF_S <= longest <= MAX_BACKOFF_S + MAX_JITTER_S
     for number in range(10_000):
-        backoffs.ask(f"j-{number}", 5.0, 0.0)
-    assert len(backoffs.resting(0.0)) == 4_096
-    assert backoffs.left("i-1", 0.0) == longest
+        backoffs.start(f"j-{number}", 5.0, 0.0)
+    assert len(backoffs.backed_off(0.0)) == 4_096
+    assert backoffs.remaining_s("i-1", 0.0) == longest
 
 
-def make_backoffs(seed=1) -> RestBook:
-    return RestBook(random.Random(seed))
+def make_backoffs(seed=1) -> BackoffTable:
+    return BackoffTable(random.Random(seed))
 
 
 def test_after_a_backoff_one_trial_is_sent_and_others_once_it_is_accepted():
     backoffs = make_backoffs()
-    backoffs.ask("i-1", 2.0, 0.0)
-    retry_at = backoffs.left("i-1", 0.0)
+    backoffs.start("i-1", 2.0, 0.0)
+    retry_at = backoffs.remaining_s("i-1", 0.0)
     assert 2.0 <= retry_at <= 2.0 * (1 + JITTER_FRACTION)
     assert not backoffs.may_send("i-1", retry_at - 0.01)
     assert backoffs.may_send("i-1", retry_at)
@@ -180,24 +180,24 @@
 
 def test_a_failed_trial_is_repeated_and_a_long_one_counts_as_accepted():
     backoffs = make_backoffs()
-    backoffs.ask("i-1", 1.0, 0.0)
+    backoffs.start("i-1", 1.0, 0.0)
     assert backoffs.begin("i-1", 2.0)
     backoffs.end_trial("i-1", False)
     assert backoffs.may_send("i-1", 2.0)
     assert backoffs.begin("i-1", 2.0)
-    assert backoffs.is_returning("i-1", 2.1)
+    assert backoffs.is_awaiting_trial("i-1", 2.1)
     assert backoffs.may_send("i-1", 2.5)
     assert not backoffs.begin("i-1", 2.5)
-    assert not backoffs.is_returning("i-1", 2.5)
+    assert not backoffs.is_awaiting_trial("i-1", 2.5)
 
 
 def test_a_new_backoff_in_response_to_a_trial_applies():
     backoffs = make_backoffs()
-    backoffs.ask("i-1", 1.0, 0.0)
+    backoffs.start("i-1", 1.0, 0.0)
     assert backoffs.begin("i-1", 2.0)
-    backoffs.ask("i-1", 3.0, 2.01)
+    backoffs.start("i-1", 3.0, 2.01)
     backoffs.end_trial("i-1", False)
-    assert backoffs.left("i-1", 2.01) >= 3.0
+    assert backoffs.remaining_s("i-1", 2.01) >= 3.0
     backoffs.end_trial("i-1", True)
     assert not backoffs.may_send("i-1", 3.0)
 
@@ -207,8 +207,8 @@
     resumed = []
     for seed in range(10):
         backoffs = make_backoffs(seed)
-        backoffs.ask("i-1", 3.0, 0.0)
-        resumed.append(backoffs.left("i-1", 0.0))
+        backoffs.start("i-1", 3.0, 0.0)
+        resumed.append(backoffs.remaining_s("i-1", 0.0))
     assert min(resumed) >= 3.0
     busiest = max(sum(at <= other < at + 0.1 for other in resumed) for at in resumed)
     assert busiest <= 4
