--- a/bench/feed.py
+++ b/bench/feed.py
@@ -24,7 +24,7 @@
     World,
 )
 from finchway.gateway._session import DEMAND_EVERY_S
-from finchway.pushback import LimitsKnown
+from finchway.pushback import LimitLogPosition
 from finchway.state import SteeringImage
 
 GATEWAYS = (12, 100, 1_300)
@@ -32,7 +32,7 @@
 SERVICES = 3
 GATEWAYS_A_REGION = 60
 REPEATS = 50
-KNOWN = LimitsKnown("0123456789ab", 1_000)
+KNOWN = LimitLogPosition("0123456789ab", 1_000)
 
 
 def make_feed(gateways: int, news: bool) -> Feed:
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -32,7 +32,7 @@
     UpstreamTable,
 )
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
-from finchway.pushback import LimitNews, LimitsKnown
+from finchway.pushback import LimitLog, LimitLogPosition
 from finchway.registry import Registration, UpstreamState
 from finchway.state import ChangeItems, Steering
 
@@ -135,7 +135,7 @@
         self.world = World()
         self.writer = LogWriter()
         decisions = DecisionLog(name, self.writer)
-        self.known = LimitsKnown()
+        self.known = LimitLogPosition()
         self.table = table = UpstreamTable(name, lambda: REGIONS, self.world, Bounds(), decisions)
         router = Router(zone, lambda: REGIONS, self.world, table, Bounds())
         log = RequestLog(self.world, decisions, GatewayMetrics(name), LoopLag())
@@ -178,7 +178,7 @@
 
     def __init__(self, seed: int, rate: float, limit: float | None) -> None:
         self._limit = limit
-        self._news = LimitNews()
+        self._limit_log = LimitLog()
         self._rng = random.Random(seed)
         self._rate = rate
         self._steering = _steering()
@@ -231,8 +231,8 @@
                     pass
                 now = trio.current_time()
                 gateway.world.learn(self._feed(version), now)
-                self._news.learn(gateway.table.limits.told(), now)
-                heard = self._news.since(gateway.known, now)
+                self._limit_log.merge(gateway.table.limits.told(), now)
+                heard = self._limit_log.since(gateway.known, now)
                 if heard is not None:
                     gateway.known = heard.known
                     gateway.table.limits.learn(heard.words)
--- a/src/finchway/control/_feed.py
+++ b/src/finchway/control/_feed.py
@@ -17,7 +17,7 @@
     ShareHeard,
     Subscribe,
 )
-from finchway.pushback import LimitNews
+from finchway.pushback import LimitLog
 from finchway.registry import AddressOwners, ReceivedHeartbeat, Registration, Registry
 from finchway.transport import Link
 
@@ -52,7 +52,7 @@
         self._incarnation = uuid.uuid4().hex[:12]
         self._registry = Registry(UPSTREAM_RETENTION_S, AddressOwners(self._silent_after))
         self._gateways = GatewayTable(GATEWAY_TIMEOUT_S)
-        self._limits = LimitNews()
+        self._limits = LimitLog()
         self._limits_changed = trio.Event()
         self._limits_notified_at = float("-inf")
         self._limits_pending = False
@@ -92,7 +92,7 @@
         """Answer a gateway, at once if the steering state is newer, else after a hold time."""
         arrived_at = trio.current_time()
         self._gateways.record(poll.beat, arrived_at)
-        self._limits_pending |= self._limits.learn(poll.beat.limits, arrived_at)
+        self._limits_pending |= self._limits.merge(poll.beat.limits, arrived_at)
         self._notify_limits(arrived_at)
         known = poll.life == self._incarnation
         steering = self._runner.machine.steering
--- a/src/finchway/entry/_session.py
+++ b/src/finchway/entry/_session.py
@@ -21,7 +21,7 @@
 from finchway.exceptions import FinchwayError, NotLeaderError
 from finchway.membership import Heartbeat, HeartbeatReply, LeaseTiming, RateReport, full_state
 from finchway.observe import EventKind, Timeline
-from finchway.pushback import LimitsKnown
+from finchway.pushback import LimitLogPosition
 from finchway.resources import Change
 from finchway.state import AnyCommand, AnyResult
 from finchway.transport import AnyBody, Changes, FetchChanges, HeartbeatBatch, Link, Submit
@@ -83,7 +83,7 @@
         self._batcher = HeartbeatBatcher(identity.instance, self._send_to_control)
         self._sequence = 0
         self._loans_applied = 0
-        self._limits_known = LimitsKnown()
+        self._limits_known = LimitLogPosition()
         self._lease_until = float("-inf")
         self._last_contact_at = float("-inf")
         self._last_direct_reply_at = float("-inf")
@@ -205,7 +205,7 @@
             loads=view.loads(now),
             marks=view.leaving_marks(),
             rates=[RateReport(o, s, rate) for o, s, rate in view.active_rates(now)],
-            limits=view.directory.limits.told(now),
+            limits=view.directory.limits.reports_to_send(now),
             limits_known=self._limits_known,
         )
 
--- a/src/finchway/feed/_messages.py
+++ b/src/finchway/feed/_messages.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from finchway.pushback import LimitsHeard, LimitsKnown, NamedLimit
+from finchway.pushback import LimitLogEntries, LimitLogPosition, LimitReport
 from finchway.registry import Registration
 from finchway.state import RequestReport, SteeringImage
 
@@ -37,7 +37,7 @@
     sequence: int = 0
     rates: list[ServiceRate] = []
     pressed: bool = False
-    limits: list[NamedLimit] = []
+    limits: list[LimitReport] = []
 
 
 class RegionDemand(Struct, frozen=True, array_like=True):
@@ -99,7 +99,7 @@
     roster: int = 0
     demand: bool = True
     rest: bool = False
-    limits: LimitsKnown = LimitsKnown()
+    limits: LimitLogPosition = LimitLogPosition()
 
 
 class Feed(Struct, frozen=True, kw_only=True, tag=True):
@@ -121,7 +121,7 @@
     more: bool = False
     roster: Roster | None = None
     demand: list[RegionDemand] | None = None
-    limits: LimitsHeard | None = None
+    limits: LimitLogEntries | None = None
 
 
 class ReportedRequests(Struct, frozen=True, kw_only=True, tag=True):
--- a/src/finchway/gateway/_askings.py
+++ b/src/finchway/gateway/_askings.py
@@ -8,7 +8,7 @@
 
 from finchway._clock import WALL
 from finchway.observe import BeliefChanged, DecisionLog
-from finchway.pushback import BackoffTable, LeavingLives, LimitWords, Pushback
+from finchway.pushback import BackoffTable, LeavingIncarnations, LimitReports, Pushback
 from finchway.registry import Registration
 
 # Seconds by which the clocks of an upstream and this gateway may differ.
@@ -32,10 +32,10 @@
     record while its pushback remains valid. `limits` are passed on to later incarnations.
     """
 
-    def __init__(self, decisions: DecisionLog, limits: LimitWords) -> None:
+    def __init__(self, decisions: DecisionLog, limits: LimitReports) -> None:
         self._decisions = decisions
         self._backoffs = BackoffTable(random.Random())
-        self._leaving = LeavingLives()
+        self._leaving = LeavingIncarnations()
         self._limits = limits
         self._latest: dict[str, LatestPushback] = {}
 
@@ -72,7 +72,7 @@
         if upstream.born / 1000 > latest.at + MAX_CLOCK_SKEW_S:
             return
         self._backoffs.carry_over(latest.life, upstream.life)
-        self._limits.pass_on(latest.life, upstream.life)
+        self._limits.carry_over(latest.life, upstream.life)
         if latest.life in self._leaving:
             self._leaving.add(upstream.life)
 
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -12,7 +12,7 @@
 from finchway.gateway._record import UpstreamRecord
 from finchway.observe import BeliefChanged, DecisionLog, LimitTotals
 from finchway.policy import part_of_limit
-from finchway.pushback import MOST_LIMITS, Allowances, LimitWords, NamedLimit, Part, Pushback
+from finchway.pushback import MAX_LIMITS, LimitReport, LimitReports, Part, Pushback, RateLimiter
 
 
 class LimitTracker:
@@ -33,22 +33,22 @@
         self._world = world
         self._region_of = region_of
         self._decisions = decisions
-        self._named = LimitWords()
-        self._allowances = Allowances(self._named, random.Random(), self._part_of)
+        self._named = LimitReports()
+        self._rate_limiter = RateLimiter(self._named, random.Random(), self._part_of)
         self._parts: dict[str, tuple[float, Part]] = {}
         self._parts_version = -1
         self._totals: dict[str, LimitTotals] = {}
         self._on_lowered: Callable[[], None] = lambda: None
 
     @property
-    def named(self) -> LimitWords:
+    def named(self) -> LimitReports:
         """The limits that upstreams have named."""
         return self._named
 
     @property
-    def allowances(self) -> Allowances:
+    def rate_limiter(self) -> RateLimiter:
         """The requests that this gateway may send to upstreams with a limit."""
-        return self._allowances
+        return self._rate_limiter
 
     def on_lowered(self, note: Callable[[], None]) -> None:
         """Set the callback for answers that name a new or a lower limit."""
@@ -61,22 +61,22 @@
             self._log(life, "unreadable", f"its limit: {pushback.unread_limit[:MAX_LOGGED_CHARS]}")
             if pushback.limit is None:
                 return
-        if not self._named.hear(life, pushback.limit, sent_at, now):
+        if not self._named.record(life, pushback.limit, sent_at, now):
             return
         self._log_limit(life, pushback.limit, "its answer")
         if pushback.limit is not None and (before is None or pushback.limit < before):
             self._on_lowered()
 
-    def learn(self, limits: list[NamedLimit]) -> None:
+    def learn(self, limits: list[LimitReport]) -> None:
         """Apply the limits that upstreams have named to other gateways."""
         now = trio.current_time()
         for named in limits:
-            if self._named.learn(named, now):
+            if self._named.merge(named, now):
                 self._log_limit(named.life, named.rate, "control")
 
-    def told(self) -> list[NamedLimit]:
+    def told(self) -> list[LimitReport]:
         """Return the limits recently received from upstreams, for other gateways."""
-        return self._named.told(trio.current_time())
+        return self._named.reports_to_send(trio.current_time())
 
     def totals(self, records: Iterable[UpstreamRecord], now: float) -> dict[str, LimitTotals]:
         """Return the sums of the named limits and of this gateway's shares by service.
@@ -87,7 +87,7 @@
             totals.upstreams, totals.named, totals.part = 0, 0.0, 0.0
         for record in records:
             life = record.registration.life
-            limit, part = self._named.rate(life), self._allowances.part(life, now)
+            limit, part = self._named.rate(life), self._rate_limiter.part(life, now)
             if limit is None or part is None:
                 continue
             totals = self._totals.setdefault(record.registration.service, LimitTotals())
@@ -100,7 +100,7 @@
         """Return this gateway's share of a limit, cached until the set of gateways changes."""
         peers = self._world.fellows
         regions = peers.held(now)
-        if peers.changes != self._parts_version or len(self._parts) >= MOST_LIMITS:
+        if peers.changes != self._parts_version or len(self._parts) >= MAX_LIMITS:
             self._parts_version = peers.changes
             self._parts = {}
         cached = self._parts.get(life)
--- a/src/finchway/gateway/_poll.py
+++ b/src/finchway/gateway/_poll.py
@@ -5,7 +5,7 @@
 import trio
 
 from finchway.feed import Feed
-from finchway.pushback import LimitsKnown
+from finchway.pushback import LimitLogPosition
 
 
 class Poll:
@@ -40,7 +40,7 @@
         self.life = ""
         self.order = 0
         self.rest = False
-        self.limits = LimitsKnown()
+        self.limits = LimitLogPosition()
 
     def note(self, answer: Feed) -> None:
         """Advance to an answer; a late one of the same incarnation never moves back."""
@@ -51,6 +51,6 @@
         if answer.limits is not None:
             self._note_limits(answer.limits.known)
 
-    def _note_limits(self, known: LimitsKnown) -> None:
+    def _note_limits(self, known: LimitLogPosition) -> None:
         if known.book != self.limits.book or known.order > self.limits.order:
             self.limits = known
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -206,7 +206,7 @@
             if not self._table.is_available(record, now):
                 passed_over.resting += rests.remaining_s(record.registration.life, now) > 0
                 passed_over.at_limit += (
-                    self._table.limits.allowances.wait(record.registration.life, now) > 0
+                    self._table.limits.rate_limiter.wait(record.registration.life, now) > 0
                 )
                 continue
             if name in outliers and not record.outlier_state.may_try(now):
@@ -243,7 +243,7 @@
             passed_over,
             self._table.limits.named.rate(life),
             self._table.limits.named.age(life, now),
-            self._table.limits.allowances.part(life, now),
+            self._table.limits.rate_limiter.part(life, now),
         )
 
     def _candidate(
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -16,7 +16,7 @@
 from finchway.gateway._feed_log import FeedLog
 from finchway.gateway._poll import Poll, ReplicaCursor
 from finchway.gateway._transit import TransitMeter
-from finchway.pushback import NamedLimit
+from finchway.pushback import LimitReport
 from finchway.state import Suspect
 from finchway.transport import Link
 
@@ -54,8 +54,8 @@
         rates: Callable[[], list[ServiceRate]],
         log: FeedLog,
         apply_suspects: Callable[[list[Suspect]], None] = lambda suspects: None,
-        limits: Callable[[], list[NamedLimit]] = list,
-        apply_limits: Callable[[list[NamedLimit]], None] = lambda words: None,
+        limits: Callable[[], list[LimitReport]] = list,
+        apply_limits: Callable[[list[LimitReport]], None] = lambda reports: None,
     ) -> None:
         self._log = log
         self._apply_suspects = apply_suspects
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -17,7 +17,7 @@
 from finchway.gateway._reservation import Reservation
 from finchway.observe import BeliefChanged, DecisionLog
 from finchway.policy import Pacer, rank
-from finchway.pushback import BackoffTable, LimitWords, Pushback
+from finchway.pushback import BackoffTable, LimitReports, Pushback
 from finchway.registry import Registration, UpstreamState
 
 # Fraction of the allowed rate sent to a cold upstream, since two gateways may both believe for a
@@ -56,7 +56,9 @@
         """Number of requests that they process at once."""
         return sum(record.registration.slots for record in self.records.values())
 
-    def capacity(self, rate_per_slot: float, excluded: frozenset[str], limits: LimitWords) -> float:
+    def capacity(
+        self, rate_per_slot: float, excluded: frozenset[str], limits: LimitReports
+    ) -> float:
         """Return the capacity in requests per second, without the excluded upstreams.
 
         `rate_per_slot` is the capacity of one slot. An upstream's named limit caps its capacity.
@@ -213,18 +215,18 @@
         if record.backoff_until > now or not self.rests.may_send(life, now):
             return False
         # A named limit applies to all gateways together, so each one keeps to its share.
-        return self._limits.allowances.may_send(life, now) and self._cold_allows(record, now)
+        return self._limits.rate_limiter.may_send(life, now) and self._cold_allows(record, now)
 
     def available_in(self, record: UpstreamRecord, now: float) -> float:
         """Return the seconds until an upstream's requested backoff or limit admits a request."""
         life = record.registration.life
-        return max(self.rests.remaining_s(life, now), self._limits.allowances.wait(life, now))
+        return max(self.rests.remaining_s(life, now), self._limits.rate_limiter.wait(life, now))
 
     def reserve(self, record: UpstreamRecord, request_id: str, key: str, now: float) -> Reservation:
         """Count a request that is about to be sent."""
         reserved = Reservation(record, request_id)
         reserved.is_trial = self.rests.begin(reserved.life, now)
-        reserved.is_counted = self._limits.allowances.take(reserved.life, now)
+        reserved.is_counted = self._limits.rate_limiter.take(reserved.life, now)
         record.in_flight += 1
         if record.is_warm(key, now):
             record.warm_in_flight[request_id] = now
@@ -240,7 +242,7 @@
         if reserved.is_trial:
             self.rests.end_trial(reserved.life, was_answered)
         if reserved.is_counted and not reserved.is_sent:
-            self._limits.allowances.give_back(reserved.life)
+            self._limits.rate_limiter.return_token(reserved.life)
 
     async def connect(self, reserved: Reservation, now: float) -> UpstreamConnection:
         """Return an idle connection or a new one; raises `AttemptError`.
@@ -267,9 +269,9 @@
             return False
         if reserved.is_counted:
             return True
-        if not self._limits.allowances.may_send(reserved.life, now):
+        if not self._limits.rate_limiter.may_send(reserved.life, now):
             return False
-        reserved.is_counted = self._limits.allowances.take(reserved.life, now)
+        reserved.is_counted = self._limits.rate_limiter.take(reserved.life, now)
         return True
 
     async def open_connection(self, record: UpstreamRecord) -> UpstreamConnection:
--- a/src/finchway/membership/_coordinator.py
+++ b/src/finchway/membership/_coordinator.py
@@ -29,7 +29,7 @@
     share_name,
     usable_slots,
 )
-from finchway.pushback import LimitNews
+from finchway.pushback import LimitLog
 from finchway.resources import (
     Division,
     Instance,
@@ -65,7 +65,7 @@
         self._lease = lease or LeaseTiming()
         self._registry = HeartbeatRegistry(self._lease, now)
         self._platform = PlatformView()
-        self._limits = LimitNews()
+        self._limits = LimitLog()
         self._max_request_s = _max_request_durations(machine.store)
         self._lender = Lender(loans or LoanTiming(), now)
         self._awaited_holders = {
@@ -101,7 +101,7 @@
         """
         self._refresh_indexes()
         is_new = self._registry.record(heartbeat, now)
-        self._limits.learn(heartbeat.limits, now)
+        self._limits.merge(heartbeat.limits, now)
         self._awaited_holders.discard(heartbeat.holder)
         if not self._awaited_holders:
             self._lender.learn_all()
--- a/src/finchway/membership/_heartbeat.py
+++ b/src/finchway/membership/_heartbeat.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from finchway.policy import Demand, DrainReport, Loan
-from finchway.pushback import LimitsHeard, LimitsKnown, NamedLimit
+from finchway.pushback import LimitLogEntries, LimitLogPosition, LimitReport
 from finchway.resources import Change
 
 
@@ -57,8 +57,8 @@
     loads: dict[str, float] = {}
     rates: list[RateReport] = []
     marks: list[UpstreamMark] = []
-    limits: list[NamedLimit] = []
-    limits_known: LimitsKnown = LimitsKnown()
+    limits: list[LimitReport] = []
+    limits_known: LimitLogPosition = LimitLogPosition()
 
     @property
     def holder(self) -> str:
@@ -83,7 +83,7 @@
     snapshot_revision: int = 0
     loans: list[Loan] = []
     rates: dict[str, float] = {}
-    limits: LimitsHeard | None = None
+    limits: LimitLogEntries | None = None
 
 
 def rate_key(organisation: str, service: str) -> str:
--- a/src/finchway/policy/_choice.py
+++ b/src/finchway/policy/_choice.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from finchway.pushback import Allowances, BackoffTable, LimitWords, NamedLimit, Part
+from finchway.pushback import BackoffTable, LimitReport, LimitReports, Part, RateLimiter
 
 FAILURES_TO_EJECT = 3
 EJECTION_S = 2.0
@@ -59,9 +59,9 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._backoffs = BackoffTable(rng)
-        self._limits = LimitWords()
+        self._limits = LimitReports()
         self._divide_limit: Callable[[str, float], Part] = lambda address, limit: Part(limit)
-        self._allowances = Allowances(
+        self._rate_limiter = RateLimiter(
             self._limits, rng, lambda key, limit, now: self._divide_limit(_address_of(key), limit)
         )
         self._states: dict[str, UpstreamState] = {}
@@ -108,7 +108,7 @@
             state.refusals += 1
 
     @property
-    def limits(self) -> LimitWords:
+    def limits(self) -> LimitReports:
         """The rate limits announced by upstreams, by incarnation."""
         return self._limits
 
@@ -118,34 +118,35 @@
 
     def record_limit(self, address: str, limit: float | None, sent_at: float, now: float) -> bool:
         """Record the limit in the response to a request sent at `sent_at`; True if it changed."""
-        return self._limits.hear(self._incarnation_key(address), limit, sent_at, now)
+        return self._limits.record(self._incarnation_key(address), limit, sent_at, now)
 
-    def learn_limits(self, reports: list[NamedLimit], now: float) -> None:
+    def learn_limits(self, reports: list[LimitReport], now: float) -> None:
         """Merge limits that upstreams announced to other entries."""
         for named in reports:
-            self._limits.learn(named, now)
+            self._limits.merge(named, now)
 
     def part(self, address: str, now: float) -> Part | None:
         """Return this entry's part of an upstream's limit; None if it has announced none."""
-        return self._allowances.part(self._incarnation_key(address), now)
+        return self._rate_limiter.part(self._incarnation_key(address), now)
 
     def wanted_in(self, address: str, now: float) -> float:
         """Return the seconds until backoff and rate limit allow a request to an upstream."""
         return max(
-            self.rest_left(address, now), self._allowances.wait(self._incarnation_key(address), now)
+            self.rest_left(address, now),
+            self._rate_limiter.wait(self._incarnation_key(address), now),
         )
 
     def take(self, address: str, now: float) -> bool:
         """Count a request against its upstream's limit; False if it has announced none."""
-        return self._allowances.take(self._incarnation_key(address), now)
+        return self._rate_limiter.take(self._incarnation_key(address), now)
 
     def give_back(self, address: str) -> None:
         """Return the token of a request that was counted but not sent."""
-        self._allowances.give_back(self._incarnation_key(address))
+        self._rate_limiter.return_token(self._incarnation_key(address))
 
     def may_take(self, address: str, now: float) -> bool:
         """Return whether an upstream's limit allows one more request from this entry."""
-        return self._allowances.may_send(self._incarnation_key(address), now)
+        return self._rate_limiter.may_send(self._incarnation_key(address), now)
 
     def ask_rest(self, address: str, seconds: float, now: float) -> None:
         """Record that an upstream requested a backoff from this entry."""
@@ -246,7 +247,7 @@
         if now < max(state.ejected_until, state.rests_until):
             return False
         key = self._incarnation_key(address)
-        return self._backoffs.may_send(key, now) and self._allowances.may_send(key, now)
+        return self._backoffs.may_send(key, now) and self._rate_limiter.may_send(key, now)
 
     def _incarnation_key(self, address: str) -> str:
         """Return `address@incarnation`, with the incarnation last seen in a response."""
--- a/src/finchway/pushback/__init__.py
+++ b/src/finchway/pushback/__init__.py
@@ -4,7 +4,7 @@
 response.
 """
 
-from finchway.pushback._allowance import MIN_RATE, Allowances, Part
+from finchway.pushback._allowance import MIN_RATE, Part, RateLimiter
 from finchway.pushback._backoffs import (
     JITTER_FRACTION,
     MAX_BACKOFF_S,
@@ -12,9 +12,9 @@
     BackoffTable,
 )
 from finchway.pushback._decimal import read_decimal
-from finchway.pushback._leaving import LeavingLives
-from finchway.pushback._limit_log import LimitNews, LimitsHeard, LimitsKnown
-from finchway.pushback._limit_reports import MOST_LIMITS, LimitWords, NamedLimit
+from finchway.pushback._leaving import LeavingIncarnations
+from finchway.pushback._limit_log import LimitLog, LimitLogEntries, LimitLogPosition
+from finchway.pushback._limit_reports import MAX_LIMITS, LimitReport, LimitReports
 from finchway.pushback._pushback import NO_PUSHBACK, Pushback, is_own_answer, read_pushback
 from finchway.pushback._retry_after import read_retry_after
 
@@ -23,16 +23,16 @@
     "MIN_RATE",
     "MAX_BACKOFF_S",
     "MAX_JITTER_S",
-    "MOST_LIMITS",
+    "MAX_LIMITS",
     "JITTER_FRACTION",
-    "Allowances",
+    "RateLimiter",
     "Pushback",
-    "LeavingLives",
-    "LimitNews",
-    "LimitWords",
-    "LimitsHeard",
-    "LimitsKnown",
-    "NamedLimit",
+    "LeavingIncarnations",
+    "LimitLog",
+    "LimitReports",
+    "LimitLogEntries",
+    "LimitLogPosition",
+    "LimitReport",
     "Part",
     "BackoffTable",
     "is_own_answer",
--- a/src/finchway/pushback/_allowance.py
+++ b/src/finchway/pushback/_allowance.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from finchway.pushback._limit_reports import MOST_LIMITS, LimitWords
+from finchway.pushback._limit_reports import MAX_LIMITS, LimitReports
 
 # Minimum rate of all processes together in requests per second, whatever the limit: only a response
 # shows that a limit has changed or ended.
@@ -41,7 +41,7 @@
         self.refilled_at = max(self.refilled_at, now)
 
 
-class Allowances:
+class RateLimiter:
     """Rate limiter for requests to upstreams, by incarnation.
 
     `part_of` returns this process's part, given an incarnation, its limit and the time. Without an
@@ -50,11 +50,11 @@
 
     def __init__(
         self,
-        words: LimitWords,
+        reports: LimitReports,
         rng: random.Random,
         part_of: Callable[[str, float, float], Part],
     ) -> None:
-        self._reports = words
+        self._reports = reports
         self._rng = rng
         self._part_of = part_of
         self._buckets: dict[str, _TokenBucket] = {}
@@ -83,7 +83,7 @@
         self._refilled(incarnation, part, now).tokens -= 1.0
         return True
 
-    def give_back(self, incarnation: str) -> None:
+    def return_token(self, incarnation: str) -> None:
         """Return the token of a request that was not sent."""
         bucket = self._buckets.get(incarnation)
         if bucket is not None:
@@ -104,7 +104,7 @@
     def _refilled(self, incarnation: str, part: Part, now: float) -> _TokenBucket:
         bucket = self._buckets.get(incarnation)
         if bucket is None:
-            if len(self._buckets) >= MOST_LIMITS:
+            if len(self._buckets) >= MAX_LIMITS:
                 del self._buckets[next(iter(self._buckets))]
             # A random fill avoids that all holders send their first request at once.
             bucket = self._buckets[incarnation] = _TokenBucket(self._rng.random(), now)
--- a/src/finchway/pushback/_leaving.py
+++ b/src/finchway/pushback/_leaving.py
@@ -6,7 +6,7 @@
 MAX_LEAVING = 4_096
 
 
-class LeavingLives:
+class LeavingIncarnations:
     """Set of incarnations that accept no new requests, even if reported as ready.
 
     A leaving mark is final for its incarnation, also while no control replica is reachable.
--- a/src/finchway/pushback/_limit_log.py
+++ b/src/finchway/pushback/_limit_log.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from finchway.pushback._limit_reports import LimitWords, NamedLimit
+from finchway.pushback._limit_reports import LimitReport, LimitReports
 
 # Seconds after which a report that is not repeated is dropped.
 REPORT_RETENTION_S = 30.0
@@ -14,21 +14,21 @@
 MAX_REPORTS = 128
 
 
-class LimitsKnown(Struct, frozen=True, array_like=True):
+class LimitLogPosition(Struct, frozen=True, array_like=True):
     """A position in the log of one replica process, `book`."""
 
     book: str = ""
     order: int = 0
 
 
-class LimitsHeard(Struct, frozen=True, array_like=True):
+class LimitLogEntries(Struct, frozen=True, array_like=True):
     """Reports after a position in the log, and the position that they reach."""
 
-    known: LimitsKnown
-    words: list[NamedLimit]
+    known: LimitLogPosition
+    words: list[LimitReport]
 
 
-class LimitNews:
+class LimitLog:
     """The latest limit report of each incarnation, numbered in order of change.
 
     This is soft state: reports are repeated, so a restarted replica recovers it.
@@ -36,15 +36,15 @@
 
     def __init__(self) -> None:
         self._log_id = uuid.uuid4().hex[:12]
-        self._reports = LimitWords()
+        self._reports = LimitReports()
         self._orders: dict[str, int] = {}
         self._last_order = 0
 
-    def learn(self, reports: list[NamedLimit], now: float) -> bool:
+    def merge(self, reports: list[LimitReport], now: float) -> bool:
         """Merge received reports; return whether any of them changed the log."""
         before = self._last_order
         for report in reports:
-            if self._reports.learn(report, now) or report.life not in self._orders:
+            if self._reports.merge(report, now) or report.life not in self._orders:
                 self._last_order += 1
                 self._orders.pop(report.life, None)
                 self._orders[report.life] = self._last_order
@@ -53,7 +53,7 @@
             self._reports.forget(incarnation)
         return self._last_order != before
 
-    def since(self, known: LimitsKnown, now: float) -> LimitsHeard | None:
+    def since(self, known: LimitLogPosition, now: float) -> LimitLogEntries | None:
         """Return the reports after a position, oldest first; None if there are none."""
         order = known.order if known.book == self._log_id else 0
         newer = [
@@ -64,14 +64,14 @@
         batch = newer[:MAX_REPORTS]
         reached = batch[-1][0] if len(batch) < len(newer) else self._last_order
         reports = [
-            NamedLimit(
+            LimitReport(
                 incarnation,
                 self._reports.rate(incarnation),
                 round(self._reports.age(incarnation, now), 3),
             )
             for _, incarnation in batch
         ]
-        return LimitsHeard(LimitsKnown(self._log_id, reached), reports)
+        return LimitLogEntries(LimitLogPosition(self._log_id, reached), reports)
 
     def _has_expired(self, incarnation: str, now: float) -> bool:
         return self._reports.age(incarnation, now) > REPORT_RETENTION_S
--- a/src/finchway/pushback/_limit_reports.py
+++ b/src/finchway/pushback/_limit_reports.py
@@ -5,14 +5,14 @@
 from msgspec import Struct
 
 # Limit on stored incarnations; the oldest entry is dropped first.
-MOST_LIMITS = 4_096
+MAX_LIMITS = 4_096
 # Seconds for which a limit from a response is reported to others. Every response renews it.
 REPORT_FOR_S = 10.0
 # Limit on reports in one message; the least recently reported ones are sent first.
 MAX_REPORTS = 16
 
 
-class NamedLimit(Struct, frozen=True, array_like=True):
+class LimitReport(Struct, frozen=True, array_like=True):
     """The rate limit that an incarnation of an upstream announced `age` seconds before sending.
 
     `rate` is in requests per second from all processes, None if it no longer announces a limit.
@@ -23,7 +23,7 @@
     age: float
 
 
-class _LimitReport:
+class _StoredReport:
     """The latest limit of one incarnation; `is_direct` if received here in a response."""
 
     __slots__ = ("is_direct", "rate", "named_at", "reported_at")
@@ -35,16 +35,16 @@
         self.reported_at = float("-inf")
 
 
-class LimitWords:
+class LimitReports:
     """The latest announced limits, or their withdrawal, by incarnation.
 
-    reports = LimitWords()
-    reports.hear("i-1", 7.2, sent_at=0.0, now=0.1)  # True: it has changed
+    reports = LimitReports()
+    reports.record("i-1", 7.2, sent_at=0.0, now=0.1)  # True: it has changed
     reports.rate("i-1")  # 7.2
     """
 
     def __init__(self) -> None:
-        self._reports: dict[str, _LimitReport] = {}
+        self._reports: dict[str, _StoredReport] = {}
 
     def rate(self, incarnation: str) -> float | None:
         """Return an incarnation's limit in requests per second; None if it has none."""
@@ -62,7 +62,7 @@
             incarnation for incarnation, report in self._reports.items() if report.rate is not None
         ]
 
-    def hear(self, incarnation: str, rate: float | None, sent_at: float, now: float) -> bool:
+    def record(self, incarnation: str, rate: float | None, sent_at: float, now: float) -> bool:
         """Record the limit in the response to a request of `sent_at`; True if it changed."""
         report = self._reports.get(incarnation)
         if report is None:
@@ -76,7 +76,7 @@
         report.is_direct = True
         return self._update(report, rate, now)
 
-    def learn(self, other: NamedLimit, now: float) -> bool:
+    def merge(self, other: LimitReport, now: float) -> bool:
         """Merge a report of another process if it is newer; return whether the limit changed.
 
         A repeated report does not refresh a direct one, whose age would otherwise shrink with each
@@ -92,7 +92,7 @@
         report.is_direct = False
         return self._update(report, other.rate, named_at)
 
-    def pass_on(self, earlier: str, later: str) -> None:
+    def carry_over(self, earlier: str, later: str) -> None:
         """Copy the limit of an earlier incarnation to a later one."""
         report = self._reports.get(earlier)
         if report is not None and report.rate is not None:
@@ -102,7 +102,7 @@
         """Remove the report of an incarnation."""
         self._reports.pop(incarnation, None)
 
-    def told(self, now: float) -> list[NamedLimit]:
+    def reports_to_send(self, now: float) -> list[LimitReport]:
         """Return recent direct reports to send to others, the least recently reported first."""
         own = [
             (report.reported_at, incarnation)
@@ -113,15 +113,15 @@
         for _, incarnation in sorted(own)[:MAX_REPORTS]:
             report = self._reports[incarnation]
             report.reported_at = now
-            reports.append(NamedLimit(incarnation, report.rate, round(now - report.named_at, 3)))
+            reports.append(LimitReport(incarnation, report.rate, round(now - report.named_at, 3)))
         return reports
 
     def _add(self, incarnation: str, rate: float | None, named_at: float, is_direct: bool) -> None:
-        if len(self._reports) >= MOST_LIMITS:
+        if len(self._reports) >= MAX_LIMITS:
             del self._reports[next(iter(self._reports))]
-        self._reports[incarnation] = _LimitReport(rate, named_at, is_direct)
+        self._reports[incarnation] = _StoredReport(rate, named_at, is_direct)
 
-    def _update(self, report: _LimitReport, rate: float | None, named_at: float) -> bool:
+    def _update(self, report: _StoredReport, rate: float | None, named_at: float) -> bool:
         is_changed = report.rate != rate
         report.rate = rate
         report.named_at = max(report.named_at, named_at)
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -22,7 +22,7 @@
     UpstreamTable,
 )
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
-from finchway.pushback import LimitNews, LimitsKnown
+from finchway.pushback import LimitLog, LimitLogPosition
 from finchway.registry import Registration, UpstreamState
 from finchway.state import ChangeItems, RequestReport, Steering
 
@@ -260,14 +260,14 @@
 async def _feed_all(subjects: list[GatewayUnderTest], upstreams: tuple[Upstream, ...]) -> None:
     """Feed all gateways periodically, as replicas would, including the limits of upstreams."""
     registrations = [upstream.registration() for upstream in upstreams]
-    news = LimitNews()
-    known = dict.fromkeys(subjects, LimitsKnown())
+    limit_log = LimitLog()
+    known = dict.fromkeys(subjects, LimitLogPosition())
     while True:
         now = trio.current_time()
         for subject in subjects:
-            news.learn(subject.table.limits.told(), now)
+            limit_log.merge(subject.table.limits.told(), now)
         for subject in subjects:
-            update = news.since(known[subject], now)
+            update = limit_log.since(known[subject], now)
             if update is not None:
                 known[subject] = update.known
             subject.apply_feed(registrations, subject.names, limits=update)
--- a/tests/gateway/test_spread_with_limits.py
+++ b/tests/gateway/test_spread_with_limits.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from finchway.pushback import NamedLimit
+from finchway.pushback import LimitReport
 from tests.gateway.test_router import (
     RouterUnderTest,
     on_virtual_time,
@@ -16,7 +16,7 @@
 
 
 def name_limits(subject, names, rate):
-    subject.table.limits.learn([NamedLimit(name, rate, 0.0) for name in names])
+    subject.table.limits.learn([LimitReport(name, rate, 0.0) for name in names])
 
 
 @on_virtual_time
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -19,7 +19,7 @@
 from finchway.membership import HeartbeatReply, LeaseTiming
 from finchway.observe import LogicalClock, Timeline
 from finchway.policy import Holder, Loan, LoanTiming
-from finchway.pushback import Allowances, LimitWords, Part
+from finchway.pushback import LimitReports, Part, RateLimiter
 from finchway.resources import Division, Share
 from finchway.state import SteeringImage
 from tests.unit.test_feed_server import IdleRunner
@@ -156,13 +156,15 @@
 
 def test_what_a_limit_allows_does_not_pile_up_over_a_suspension():
     async def check(machine):
-        words = LimitWords()
-        allowances = Allowances(words, random.Random(1), lambda life, limit, now: Part(limit, 2.0))
-        words.hear("i-1", 1.0, trio.current_time(), trio.current_time())
+        reports = LimitReports()
+        rate_limiter = RateLimiter(
+            reports, random.Random(1), lambda life, limit, now: Part(limit, 2.0)
+        )
+        reports.record("i-1", 1.0, trio.current_time(), trio.current_time())
         machine.suspended += 60.0
         sent = 0
-        while allowances.may_send("i-1", trio.current_time()):
-            allowances.take("i-1", trio.current_time())
+        while rate_limiter.may_send("i-1", trio.current_time()):
+            rate_limiter.take("i-1", trio.current_time())
             sent += 1
         assert sent <= 2
 
--- a/tests/unit/test_feed_server.py
+++ b/tests/unit/test_feed_server.py
@@ -7,7 +7,7 @@
 
 from finchway.control._feed import LONG_POLL_S, LONG_POLL_UNREADY_S, FeedServer
 from finchway.feed import GatewayBeat, Subscribe
-from finchway.pushback import LimitsKnown, NamedLimit
+from finchway.pushback import LimitLogPosition, LimitReport
 from finchway.replication import Members
 from finchway.state import Steering
 
@@ -66,7 +66,7 @@
         answered = []
 
         async def poll_forever():
-            known = LimitsKnown()
+            known = LimitLogPosition()
             while True:
                 poll = Subscribe(beat=other, revision=0, life=first.life, limits=known)
                 answer = await server.answer(poll)
@@ -75,7 +75,7 @@
                     answered.append((trio.current_time(), [w.rate for w in answer.limits.words]))
 
         async def report_limit(rate):
-            beat = msgspec.structs.replace(limited, limits=[NamedLimit("i-1", rate, 0.0)])
+            beat = msgspec.structs.replace(limited, limits=[LimitReport("i-1", rate, 0.0)])
             poll = Subscribe(beat=beat, revision=0, life=first.life)
             with trio.move_on_after(0.01):
                 await server.answer(poll)
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -9,14 +9,14 @@
 from finchway.feed import Fellows
 from finchway.policy import part_of_limit
 from finchway.pushback import (
+    MAX_LIMITS,
     MIN_RATE,
-    MOST_LIMITS,
-    Allowances,
-    LimitNews,
-    LimitsKnown,
-    LimitWords,
-    NamedLimit,
+    LimitLog,
+    LimitLogPosition,
+    LimitReport,
+    LimitReports,
     Part,
+    RateLimiter,
 )
 from tests.limits import WINDOW_S, borne, most_in_a_window
 
@@ -69,97 +69,101 @@
     st.lists(st.floats(0.0, 0.5), min_size=1, max_size=300),
 )
 def test_requests_in_any_window_are_bounded_by_the_part_and_one_burst(rate, burst, gaps):
-    reports = LimitWords()
-    allowances = Allowances(reports, random.Random(1), lambda life, limit, now: Part(rate, burst))
-    reports.hear("i-1", rate, 0.0, 0.0)
+    reports = LimitReports()
+    rate_limiter = RateLimiter(
+        reports, random.Random(1), lambda life, limit, now: Part(rate, burst)
+    )
+    reports.record("i-1", rate, 0.0, 0.0)
     now, sent = 0.0, []
     for gap in gaps:
         now += gap
-        while allowances.may_send("i-1", now) and len(sent) < 5_000:
-            assert allowances.take("i-1", now)
+        while rate_limiter.may_send("i-1", now) and len(sent) < 5_000:
+            assert rate_limiter.take("i-1", now)
             sent.append(now)
     assert most_in_a_window(sent, 0.0) <= WINDOW_S * rate + burst + 1e-6
 
 
 def test_unsent_requests_return_their_token_and_unlimited_ones_are_not_counted():
-    reports = LimitWords()
-    allowances = Allowances(reports, random.Random(1), lambda life, limit, now: Part(0.5, 1.0))
-    assert allowances.may_send("i-1", 0.0)
-    assert not allowances.take("i-1", 0.0)
-    reports.hear("i-1", 0.5, 0.0, 0.0)
-    allowances.may_send("i-1", 1.0)
-    assert allowances.take("i-1", 10.0)
-    assert not allowances.may_send("i-1", 10.0)
-    assert allowances.wait("i-1", 10.0) == pytest.approx(2.0)
-    allowances.give_back("i-1")
-    assert allowances.may_send("i-1", 10.0)
-    reports.hear("i-1", None, 11.0, 12.0)
-    assert (allowances.part("i-1", 12.0), allowances.wait("i-1", 12.0)) == (None, 0.0)
+    reports = LimitReports()
+    rate_limiter = RateLimiter(reports, random.Random(1), lambda life, limit, now: Part(0.5, 1.0))
+    assert rate_limiter.may_send("i-1", 0.0)
+    assert not rate_limiter.take("i-1", 0.0)
+    reports.record("i-1", 0.5, 0.0, 0.0)
+    rate_limiter.may_send("i-1", 1.0)
+    assert rate_limiter.take("i-1", 10.0)
+    assert not rate_limiter.may_send("i-1", 10.0)
+    assert rate_limiter.wait("i-1", 10.0) == pytest.approx(2.0)
+    rate_limiter.return_token("i-1")
+    assert rate_limiter.may_send("i-1", 10.0)
+    reports.record("i-1", None, 11.0, 12.0)
+    assert (rate_limiter.part("i-1", 12.0), rate_limiter.wait("i-1", 12.0)) == (None, 0.0)
 
 
 def test_state_of_ended_incarnations_is_bounded():
-    reports = LimitWords()
-    allowances = Allowances(reports, random.Random(1), lambda life, limit, now: Part(limit))
-    for number in range(MOST_LIMITS + 100):
-        reports.hear(f"i-{number}", 1.0, 0.0, 0.0)
-        allowances.may_send(f"i-{number}", 0.0)
-    assert len(reports.limited()) == len(allowances) == MOST_LIMITS
+    reports = LimitReports()
+    rate_limiter = RateLimiter(reports, random.Random(1), lambda life, limit, now: Part(limit))
+    for number in range(MAX_LIMITS + 100):
+        reports.record(f"i-{number}", 1.0, 0.0, 0.0)
+        rate_limiter.may_send(f"i-{number}", 0.0)
+    assert len(reports.limited()) == len(rate_limiter) == MAX_LIMITS
 
 
 def test_each_report_is_delivered_once_and_changes_follow():
-    gateway, replica = LimitWords(), LimitNews()
-    gateway.hear("i-1", 2.5, 0.0, 1.0)
-    assert replica.learn(gateway.told(1.2), 1.3)
-    first = replica.since(LimitsKnown(), 1.5)
+    gateway, replica = LimitReports(), LimitLog()
+    gateway.record("i-1", 2.5, 0.0, 1.0)
+    assert replica.merge(gateway.reports_to_send(1.2), 1.3)
+    first = replica.since(LimitLogPosition(), 1.5)
     assert [(report.life, report.rate) for report in first.words] == [("i-1", 2.5)]
     assert first.words[0].age == pytest.approx(0.4)
-    assert not replica.learn(gateway.told(2.0), 2.1)
+    assert not replica.merge(gateway.reports_to_send(2.0), 2.1)
     assert replica.since(first.known, 2.2) is None
-    gateway.hear("i-1", None, 3.0, 3.1)
-    replica.learn(gateway.told(3.2), 3.3)
+    gateway.record("i-1", None, 3.0, 3.1)
+    replica.merge(gateway.reports_to_send(3.2), 3.3)
     later = replica.since(first.known, 3.4)
     assert [(report.life, report.rate) for report in later.words] == [("i-1", None)]
     # Another replica process has its own numbering.
-    assert LimitNews().since(later.known, 3.4) is None
-    assert len(replica.since(LimitsKnown("another", 99), 3.4).words) == 1
+    assert LimitLog().since(later.known, 3.4) is None
+    assert len(replica.since(LimitLogPosition("another", 99), 3.4).words) == 1
 
 
 def test_older_reports_are_ignored_and_repeats_do_not_refresh_direct_ones():
-    reports = LimitWords()
-    reports.hear("i-1", 2.0, 0.0, 10.0)
-    assert not reports.learn(NamedLimit("i-1", 9.0, 3.0), 11.0)
-    assert not reports.learn(NamedLimit("i-1", 2.0, 0.1), 12.0)
+    reports = LimitReports()
+    reports.record("i-1", 2.0, 0.0, 10.0)
+    assert not reports.merge(LimitReport("i-1", 9.0, 3.0), 11.0)
+    assert not reports.merge(LimitReport("i-1", 2.0, 0.1), 12.0)
     assert reports.age("i-1", 12.0) == 2.0
-    assert reports.learn(NamedLimit("i-1", None, 0.5), 12.0)
-    assert reports.told(12.0) == []
+    assert reports.merge(LimitReport("i-1", None, 0.5), 12.0)
+    assert reports.reports_to_send(12.0) == []
     # Reports of others are not sent on as direct ones.
-    assert not reports.learn(NamedLimit("i-2", None, 0.5), 12.0)
-    assert reports.told(12.0) == []
+    assert not reports.merge(LimitReport("i-2", None, 0.5), 12.0)
+    assert reports.reports_to_send(12.0) == []
 
 
 def test_reports_are_sent_in_batches_for_a_limited_time_new_ones_first():
-    reports = LimitWords()
+    reports = LimitReports()
     for number in range(40):
-        reports.hear(f"i-{number:02}", 1.0, 0.0, 1.0)
-    sent = [{report.life for report in reports.told(1.1 + step / 10)} for step in range(3)]
+        reports.record(f"i-{number:02}", 1.0, 0.0, 1.0)
+    sent = [
+        {report.life for report in reports.reports_to_send(1.1 + step / 10)} for step in range(3)
+    ]
     assert [len(lives) for lives in sent] == [16, 16, 16]
     assert len(set.union(*sent)) == 40
-    reports.hear("i-00", 3.0, 1.5, 1.6)
-    assert reports.told(1.7)[0].life == "i-00"
-    assert reports.told(30.0) == []
+    reports.record("i-00", 3.0, 1.5, 1.6)
+    assert reports.reports_to_send(1.7)[0].life == "i-00"
+    assert reports.reports_to_send(30.0) == []
 
 
 def test_a_replica_drops_reports_that_are_not_repeated():
-    replica = LimitNews()
-    replica.learn([NamedLimit("i-1", 2.0, 0.0)], 0.0)
-    replica.learn([NamedLimit("i-2", 2.0, 0.0)], 100.0)
-    assert [report.life for report in replica.since(LimitsKnown(), 100.0).words] == ["i-2"]
+    replica = LimitLog()
+    replica.merge([LimitReport("i-1", 2.0, 0.0)], 0.0)
+    replica.merge([LimitReport("i-2", 2.0, 0.0)], 100.0)
+    assert [report.life for report in replica.since(LimitLogPosition(), 100.0).words] == ["i-2"]
 
 
 def test_replies_are_bounded_and_the_next_one_continues():
-    replica = LimitNews()
-    replica.learn([NamedLimit(f"i-{n}", 1.0, 0.0) for n in range(300)], 0.0)
-    known, seen = LimitsKnown(), []
+    replica = LimitLog()
+    replica.merge([LimitReport(f"i-{n}", 1.0, 0.0) for n in range(300)], 0.0)
+    known, seen = LimitLogPosition(), []
     while (batch := replica.since(known, 1.0)) is not None:
         assert len(batch.words) <= 128
         known, seen = batch.known, seen + [report.life for report in batch.words]
--- a/tests/unit/test_pushback.py
+++ b/tests/unit/test_pushback.py
@@ -12,10 +12,10 @@
     JITTER_FRACTION,
     MAX_BACKOFF_S,
     MAX_JITTER_S,
-    MOST_LIMITS,
+    MAX_LIMITS,
     BackoffTable,
-    LeavingLives,
-    LimitWords,
+    LeavingIncarnations,
+    LimitReports,
     Pushback,
     read_pushback,
     read_retry_after,
@@ -117,24 +117,24 @@
 
 
 def test_only_a_response_to_a_later_request_raises_a_limit():
-    reports = LimitWords()
-    assert not reports.hear("i-1", None, 0.0, 1.0)
-    assert reports.hear("i-1", 5.0, 0.0, 1.0)
-    assert not reports.hear("i-1", None, 0.5, 1.1)
-    assert not reports.hear("i-1", 9.0, 0.5, 1.1)
-    assert reports.hear("i-1", 2.0, 0.5, 1.2)
+    reports = LimitReports()
+    assert not reports.record("i-1", None, 0.0, 1.0)
+    assert reports.record("i-1", 5.0, 0.0, 1.0)
+    assert not reports.record("i-1", None, 0.5, 1.1)
+    assert not reports.record("i-1", 9.0, 0.5, 1.1)
+    assert reports.record("i-1", 2.0, 0.5, 1.2)
     assert (reports.rate("i-1"), round(reports.age("i-1", 2.0), 6)) == (2.0, 0.8)
-    assert reports.hear("i-1", None, 1.3, 1.4)
+    assert reports.record("i-1", None, 1.3, 1.4)
     assert (reports.rate("i-1"), reports.limited()) == (None, [])
     # A request sent before the limit was withdrawn may still return it.
-    assert reports.hear("i-1", 2.0, 1.35, 1.5)
+    assert reports.record("i-1", 2.0, 1.35, 1.5)
 
 
 def test_stored_limits_are_bounded():
-    reports = LimitWords()
-    for number in range(MOST_LIMITS + 10):
-        reports.hear(f"i-{number}", 1.0, 0.0, 1.0)
-    assert len(reports.limited()) == MOST_LIMITS
+    reports = LimitReports()
+    for number in range(MAX_LIMITS + 10):
+        reports.record(f"i-{number}", 1.0, 0.0, 1.0)
+    assert len(reports.limited()) == MAX_LIMITS
     assert reports.rate("i-0") is None
 
 
@@ -215,7 +215,7 @@
 
 
 def test_leaving_incarnations_are_stored_up_to_a_bound():
-    leaving = LeavingLives()
+    leaving = LeavingIncarnations()
     assert leaving.add("i-1@1")
     assert not leaving.add("i-1@1")
     assert "i-1@1" in leaving
