--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -105,7 +105,7 @@
 
     def process_queue(self, service: str | None = None) -> None:
         """Grant free slots to queued requests and refuse those that cannot meet their deadline."""
-        for ticket, decision in self._view.gate.pump(trio.current_time(), service):
+        for ticket, decision in self._view.gate.process_queues(trio.current_time(), service):
             self._deliver(ticket, decision)
 
     async def serve(self, call: Call, body: Body, respond) -> None:
@@ -225,7 +225,7 @@
     def _retry_delay_s(self, call: Call, regions: tuple[str, ...]) -> float:
         """Return the seconds after which a caller should retry a request that did not run."""
         now = trio.current_time()
-        available_in = self._view.gate.back_in(call.service, regions, now, frozenset())
+        available_in = self._view.gate.available_in_s(call.service, regions, now, frozenset())
         return max(4 * self._view.gate.mean_hold_s(call.service), available_in)
 
     async def _admit(self, call: Call, regions: tuple[str, ...], excluded: frozenset[str]) -> Grant:
@@ -233,7 +233,7 @@
         ticket = Ticket(
             next(self._ticket_numbers), call.rank, call.deadline, now, regions, excluded
         )
-        decision, evicted = self._view.gate.offer(call.service, ticket, now)
+        decision, evicted = self._view.gate.request_slot(call.service, ticket, now)
         for other, refusal in evicted:
             self._deliver(other, refusal)
         if decision is None:
@@ -341,13 +341,13 @@
         """Check again for a backoff or rate limit once a new connection is established."""
         directory = self._view.directory
         address, now = slot.grant.address, trio.current_time()
-        if directory.rest_left(address, now) > 0:
+        if directory.backoff_left_s(address, now) > 0:
             return False
         if slot.grant.is_counted:
             return True
-        if not directory.may_take(address, now):
+        if not directory.is_below_limit(address, now):
             return False
-        is_counted = directory.take(address, now)
+        is_counted = directory.take_token(address, now)
         slot.grant = msgspec.structs.replace(slot.grant, is_counted=is_counted)
         return True
 
@@ -374,7 +374,7 @@
             self._timeline.record(EventKind.UPSTREAM_LEAVING, address, "said by its answer")
             self._metrics.count_asked(service, "leaving")
         if metadata.asked.rest_s > 0:
-            directory.ask_rest(address, metadata.asked.rest_s, now)
+            directory.record_backoff(address, metadata.asked.rest_s, now)
             detail = f"asks for {metadata.asked.rest_s:g} s of rest"
             self._timeline.record(EventKind.UPSTREAM_RESTING, address, detail)
             self._metrics.count_asked(service, "rest")
--- a/src/finchway/entry/_probe.py
+++ b/src/finchway/entry/_probe.py
@@ -98,7 +98,7 @@
             probed_at = self._probed_at.get(address, float("-inf"))
             if now - probed_at < MIN_PROBE_INTERVAL_S or address not in own | targets:
                 continue
-            if self._view.directory.rest_left(address, now) > 0:
+            if self._view.directory.backoff_left_s(address, now) > 0:
                 continue
             is_stale = state.report is None or now - state.report.at > REPORT_STALE_S
             if is_stale or address in targets or not self._is_leader_reachable():
@@ -144,7 +144,7 @@
         return None
 
     def _is_not_resting(self, address: str) -> bool:
-        return self._view.directory.rest_left(address, trio.current_time()) <= 0
+        return self._view.directory.backoff_left_s(address, trio.current_time()) <= 0
 
     async def _poll_platform(self, source: Callable[[], Awaitable[PlatformList]]) -> None:
         while True:
--- a/src/finchway/entry/_session.py
+++ b/src/finchway/entry/_session.py
@@ -299,7 +299,7 @@
         else:
             self._apply_changes(reply.changes)
         if reply.limits is not None:
-            self._view.directory.learn_limits(reply.limits.words, self._last_contact_at)
+            self._view.directory.merge_limits(reply.limits.words, self._last_contact_at)
             self._limits_known = reply.limits.known
         if self._view.revision < reply.revision:
             return
--- a/src/finchway/entry/_view.py
+++ b/src/finchway/entry/_view.py
@@ -66,7 +66,7 @@
         self._holder = holder or Holder(instance)
         self._directory = directory or Directory(rng)
         self._gate = Gate(self._holder, self._directory)
-        self._directory.divide_limits(self._limit_part)
+        self._directory.set_limit_division(self._limit_part)
         self._organisations: dict[str, str] = {}
         self._capacities: dict[tuple[str, str], Capacity] = {}
         self._active_moves: set[tuple[str, str]] = set()
--- a/src/finchway/gateway/_record.py
+++ b/src/finchway/gateway/_record.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from finchway.gateway._connection import UpstreamConnection
-from finchway.policy import Pacer, Standing
+from finchway.policy import Pacer, RecentOutcomes
 from finchway.registry import Registration
 
 # Seconds after which a load report is stale and only the gateway's own requests count.
@@ -57,7 +57,7 @@
         self.pacer: Pacer | None = None
         self.idle: list[UpstreamConnection] = []
         self.in_use: set[UpstreamConnection] = set()
-        self.outlier_state = Standing()
+        self.outlier_state = RecentOutcomes()
         self.warm_keys: dict[str, float] = {}
         self.warm_in_flight: dict[str, float] = {}
 
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -101,9 +101,9 @@
             return
         is_slow = seconds > estimate.slow_after
         if status >= 500:
-            record.outlier_state.note(True)
+            record.outlier_state.record(True)
         elif is_warm or not is_slow:
-            record.outlier_state.note(is_slow)
+            record.outlier_state.record(is_slow)
 
     def note_refused(self, record: UpstreamRecord, now: float) -> bool:
         """Record a refusal; return whether the upstream refused although it had free slots.
@@ -114,16 +114,16 @@
         has_report = record.reported_at >= now
         had_free_slot = has_report and record.estimated_load(now) < record.registration.slots
         if had_free_slot:
-            record.outlier_state.note(True)
+            record.outlier_state.record(True)
         return had_free_slot
 
     def note_broken(self, record: UpstreamRecord) -> None:
         """Record an attempt that failed before a complete answer."""
-        record.outlier_state.note(True)
+        record.outlier_state.record(True)
 
     def note_timeout(self, task: Task, record: UpstreamRecord) -> None:
         """Record an attempt that reached its deadline."""
-        record.outlier_state.note(True)
+        record.outlier_state.record(True)
         self._plan(task).estimate.note_timeout()
 
     def choose(self, task: Task, now: float) -> Choice | None:
@@ -223,7 +223,7 @@
         record = upstreams.records[chosen.instance]
         life = record.registration.life
         if chosen.instance in outliers:
-            record.outlier_state.note_trial(now)
+            record.outlier_state.record_trial(now)
             reason = ChoiceReason.TRIAL
         elif rests.is_awaiting_trial(record.registration.life, now):
             reason = ChoiceReason.RETURN
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -11,15 +11,15 @@
 from finchway.gateway._task import Task
 from finchway.observe import PlanChanged, RegionShare
 from finchway.policy import (
-    KeepLimit,
     KeyMap,
+    LocalFractionLimit,
     RateMeter,
     RegionLoad,
     Settled,
     Spread,
     UpstreamOrders,
     assume_even_demand,
-    find_poor,
+    find_outliers,
     plan_spread,
     rank,
     share_of_flow,
@@ -59,7 +59,7 @@
         speed = SHIFT_RATE_FACTOR * bounds.shift_per_window / bounds.shift_window
         self._spread = Spread(home, speed)
         self._settled = Settled(DEMAND_STABLE_S)
-        self._local_share_limit = KeepLimit()
+        self._local_share_limit = LocalFractionLimit()
         self._max_local_share = 1.0
         self._key_map = KeyMap(home)
         self._orders = UpstreamOrders()
@@ -88,7 +88,7 @@
     def note_warm_answer(self, region: str, seconds: float) -> None:
         """Record the time of an answer for a key that should be warm at the upstream."""
         was_cold = seconds > self._estimate.cold_key_after
-        self._local_share_limit.note(region == self._home, was_cold)
+        self._local_share_limit.record(region == self._home, was_cold)
 
     def rate(self, now: float) -> float:
         """Return the rate of callers' requests at this gateway, in requests per second."""
@@ -122,12 +122,12 @@
         regions = self._table.regions(self._service, now)
         for found in regions.values():
             for record in found.records.values():
-                record.outlier_state.note_overdue(record.overdue(now, self._estimate.slow_after))
-        standings = {
+                record.outlier_state.set_overdue(record.overdue(now, self._estimate.slow_after))
+        outcomes = {
             region: {name: record.outlier_state for name, record in found.records.items()}
             for region, found in regions.items()
         }
-        outliers = find_poor(standings, self._outliers)
+        outliers = find_outliers(outcomes, self._outliers)
         for found in regions.values():
             for name in (outliers ^ self._outliers) & found.records.keys():
                 self._table.note_outlier(found.records[name], name in outliers)
@@ -161,7 +161,7 @@
         self._key_map.follow(self._spread.parts, names, now)
 
     def _plan(self, now: float) -> dict[str, float]:
-        self._max_local_share = self._local_share_limit.most_kept(now)
+        self._max_local_share = self._local_share_limit.max_fraction(now)
         loads = self._loads(now)
         if not self._settled.note(sum(load.demand for load in loads.values()), now):
             loads = assume_even_demand(loads, set(self._zones().values()))
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -187,7 +187,7 @@
                 subject=f"upstream/{record.registration.life}",
                 now=states[1],
                 before=states[0],
-                source=f"its last answers; bad {record.outlier_state.bad_share:.2f}",
+                source=f"its last answers; bad {record.outlier_state.bad_fraction:.2f}",
             )
         )
 
--- a/src/finchway/policy/__init__.py
+++ b/src/finchway/policy/__init__.py
@@ -29,8 +29,8 @@
 from finchway.policy._key_map import KeyMap
 from finchway.policy._lender import Lender
 from finchway.policy._limit_parts import part_of_limit
-from finchway.policy._local_fraction import KeepLimit
-from finchway.policy._outliers import Standing, find_poor
+from finchway.policy._local_fraction import LocalFractionLimit
+from finchway.policy._outliers import RecentOutcomes, find_outliers
 from finchway.policy._placement import HOMES, Candidate, UpstreamOrders, choose_home
 from finchway.policy._region_health import RegionChoice, RegionHealth, RegionTrial
 from finchway.policy._retries import MAX_ATTEMPTS, Attempt, Outcome, RetryBudget, may_retry
@@ -80,7 +80,7 @@
     "Gate",
     "Grant",
     "Holder",
-    "KeepLimit",
+    "LocalFractionLimit",
     "KeyMap",
     "Lender",
     "LoadReport",
@@ -106,7 +106,7 @@
     "client_block",
     "drained_instances",
     "drained_upstreams",
-    "find_poor",
+    "find_outliers",
     "floor_of",
     "floors_in_force",
     "inbound_part",
@@ -135,7 +135,7 @@
     "RegionLoad",
     "RegionTrial",
     "Spread",
-    "Standing",
+    "RecentOutcomes",
     "WindowCount",
     "assume_even_demand",
     "plan_spread",
--- a/src/finchway/policy/_choice.py
+++ b/src/finchway/policy/_choice.py
@@ -112,7 +112,7 @@
         """The rate limits announced by upstreams, by incarnation."""
         return self._limits
 
-    def divide_limits(self, part_of: Callable[[str, float], Part]) -> None:
+    def set_limit_division(self, part_of: Callable[[str, float], Part]) -> None:
         """Set the function that returns this entry's part of an upstream's limit."""
         self._divide_limit = part_of
 
@@ -120,7 +120,7 @@
         """Record the limit in the response to a request sent at `sent_at`; True if it changed."""
         return self._limits.record(self._incarnation_key(address), limit, sent_at, now)
 
-    def learn_limits(self, reports: list[LimitReport], now: float) -> None:
+    def merge_limits(self, reports: list[LimitReport], now: float) -> None:
         """Merge limits that upstreams announced to other entries."""
         for named in reports:
             self._limits.merge(named, now)
@@ -129,30 +129,30 @@
         """Return this entry's part of an upstream's limit; None if it has announced none."""
         return self._rate_limiter.part(self._incarnation_key(address), now)
 
-    def wanted_in(self, address: str, now: float) -> float:
+    def available_in_s(self, address: str, now: float) -> float:
         """Return the seconds until backoff and rate limit allow a request to an upstream."""
         return max(
-            self.rest_left(address, now),
+            self.backoff_left_s(address, now),
             self._rate_limiter.wait(self._incarnation_key(address), now),
         )
 
-    def take(self, address: str, now: float) -> bool:
+    def take_token(self, address: str, now: float) -> bool:
         """Count a request against its upstream's limit; False if it has announced none."""
         return self._rate_limiter.take(self._incarnation_key(address), now)
 
-    def give_back(self, address: str) -> None:
+    def return_token(self, address: str) -> None:
         """Return the token of a request that was counted but not sent."""
         self._rate_limiter.return_token(self._incarnation_key(address))
 
-    def may_take(self, address: str, now: float) -> bool:
+    def is_below_limit(self, address: str, now: float) -> bool:
         """Return whether an upstream's limit allows one more request from this entry."""
         return self._rate_limiter.may_send(self._incarnation_key(address), now)
 
-    def ask_rest(self, address: str, seconds: float, now: float) -> None:
+    def record_backoff(self, address: str, seconds: float, now: float) -> None:
         """Record that an upstream requested a backoff from this entry."""
         self._backoffs.start(self._incarnation_key(address), seconds, now)
 
-    def rest_left(self, address: str, now: float) -> float:
+    def backoff_left_s(self, address: str, now: float) -> float:
         """Return the seconds left of an upstream's requested backoff; 0 if there is none."""
         return self._backoffs.remaining_s(self._incarnation_key(address), now)
 
--- a/src/finchway/policy/_gate.py
+++ b/src/finchway/policy/_gate.py
@@ -93,7 +93,9 @@
         """Return the mean slot hold time of a service in seconds."""
         return self._service_queue(service).rate.mean_s
 
-    def offer(self, service: str, ticket: Ticket, now: float) -> tuple[Decision | None, Decided]:
+    def request_slot(
+        self, service: str, ticket: Ticket, now: float
+    ) -> tuple[Decision | None, Decided]:
         """Request a slot; return a grant, a refusal, or None if the ticket was queued.
 
         The second value lists other tickets that were evicted from the queue.
@@ -129,7 +131,7 @@
     def release(self, grant: Grant, now: float, succeeded: bool, was_sent: bool = True) -> None:
         """Release a slot; a success is counted in the mean slot hold time."""
         if grant.is_counted and not was_sent:
-            self._directory.give_back(grant.address)
+            self._directory.return_token(grant.address)
         lane = self._service_queue(grant.service)
         self._in_flight -= 1
         lane.in_flight_by_rank[grant.region, grant.rank] -= 1
@@ -142,7 +144,7 @@
         if succeeded:
             lane.rate.record(now - grant.at)
 
-    def pump(self, now: float, service: str | None = None) -> Decided:
+    def process_queues(self, now: float, service: str | None = None) -> Decided:
         """Serve and expire queued tickets; return those with a decision."""
         decided: Decided = []
         for name, lane in self._service_queues.items():
@@ -160,12 +162,12 @@
         """Remove the ticket of a disconnected caller; False if it was already decided."""
         return self._service_queue(service).queue.remove(ticket)
 
-    def back_in(
+    def available_in_s(
         self, service: str, regions: tuple[str, ...], now: float, excluded: frozenset[str]
     ) -> float:
         """Return the seconds until backoffs and rate limits allow a request to any upstream."""
         waits = [
-            self._directory.wanted_in(address, now)
+            self._directory.available_in_s(address, now)
             for region in regions
             for address in self._holder.limits((service, region), now)
             if address not in excluded
@@ -181,13 +183,13 @@
                 demands.append(demand)
         return demands
 
-    def held(self, key: ShareKey) -> Slots:
+    def in_flight_by_upstream(self, key: ShareKey) -> Slots:
         """Return the requests in flight at each of a share's upstreams."""
         return {a: count for a, count in self._in_flight_by_upstream.get(key, {}).items() if count}
 
     def has_shrunk(self, key: ShareKey, now: float) -> bool:
         """Return whether the requests in flight fit the entry's limits, so that others may grow."""
-        return self._holder.fits(key, self.held(key), now)
+        return self._holder.fits(key, self.in_flight_by_upstream(key), now)
 
     def _demand(self, service: str, region: str) -> Demand:
         lane = self._service_queue(service)
@@ -201,7 +203,7 @@
                 rank = ticket.rank + rank_offset
                 wanted[rank] = wanted.get(rank, 0) + 1
         key = (service, region)
-        used = self._holder.used_beyond_floor(key, self.held(key))
+        used = self._holder.used_beyond_floor(key, self.in_flight_by_upstream(key))
         return Demand(service, region, wanted, used)
 
     def _service_queue(self, service: str, limit: int = 64) -> _ServiceQueue:
@@ -247,7 +249,7 @@
         is_trial = self._directory.begin(address, now)
         held = self._in_flight_by_upstream.setdefault((service, region), {})
         held[address] = held.get(address, 0) + 1
-        is_counted = self._directory.take(address, now)
+        is_counted = self._directory.take_token(address, now)
         return Grant(service, region, address, rank, now, is_trial, is_counted)
 
     def _refuse_backed_off_tickets(self, service: str, lane: _ServiceQueue, now: float) -> Decided:
@@ -262,7 +264,7 @@
 
     def _refuse_if_backed_off(self, service: str, ticket: Ticket, now: float) -> Refusal | None:
         """Return a refusal if all upstreams are backed off beyond a ticket's deadline."""
-        wait_s = self.back_in(service, ticket.regions, now, ticket.excluded)
+        wait_s = self.available_in_s(service, ticket.regions, now, ticket.excluded)
         if wait_s <= 0 or now + wait_s <= ticket.deadline:
             return None
         return Refusal(BACKOFF_REASON, retry_after(wait_s))
@@ -284,8 +286,8 @@
         if not parts or None in parts:
             return None
         rate = sum(part.rate for part in parts)
-        available_in = self.back_in(service, ticket.regions, now, ticket.excluded)
-        wait_s = available_in + ahead / rate if rate > 0 else available_in
+        available_in_s = self.available_in_s(service, ticket.regions, now, ticket.excluded)
+        wait_s = available_in_s + ahead / rate if rate > 0 else available_in_s
         if rate > 0 and now + wait_s <= ticket.deadline:
             return None
         return Refusal(LIMIT_REASON, retry_after(wait_s))
--- a/src/finchway/policy/_local_fraction.py
+++ b/src/finchway/policy/_local_fraction.py
@@ -4,9 +4,9 @@
 takes as long as one for a new key indicates a cache miss. While misses are more frequent in the
 home region than in the others, the region keeps a smaller fraction of its requests.
 
-    limit = KeepLimit()
-    limit.note(is_local=True, is_miss=True)
-    limit.most_kept(now)
+    limit = LocalFractionLimit()
+    limit.record(is_local=True, is_miss=True)
+    limit.max_fraction(now)
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 MIN_LIMIT = 0.2
 
 
-class KeepLimit:
+class LocalFractionLimit:
     """The maximum fraction of its requests that a region should serve itself."""
 
     __slots__ = ("_updated_at", "_miss_rates", "_limit")
@@ -32,12 +32,12 @@
         self._limit = 1.0
         self._updated_at: float | None = None
 
-    def note(self, is_local: bool, is_miss: bool) -> None:
+    def record(self, is_local: bool, is_miss: bool) -> None:
         """Record whether a repeated request, local or remote, was a cache miss."""
         rate = self._miss_rates[is_local]
         self._miss_rates[is_local] = rate + MISS_RATE_WEIGHT * (is_miss - rate)
 
-    def most_kept(self, now: float) -> float:
+    def max_fraction(self, now: float) -> float:
         """Return the limit, adjusted for the time since the last call."""
         elapsed_s = now - self._updated_at if self._updated_at is not None else 0.0
         self._updated_at = now
--- a/src/finchway/policy/_outliers.py
+++ b/src/finchway/policy/_outliers.py
@@ -4,7 +4,7 @@
 detected by comparing the outcomes of its last requests with those of its peers; if all are equally
 bad, none is an outlier.
 
-    poor = find_poor({"north": {"n1": standing, "n2": other}}, frozenset())
+    outliers = find_outliers({"north": {"n1": outcomes, "n2": other}}, frozenset())
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 TRIAL_INTERVAL_S = 1.0
 
 
-class Standing:
+class RecentOutcomes:
     """The outcomes of the last requests to one upstream."""
 
     __slots__ = ("_outcomes", "_overdue", "_next_trial_at")
@@ -44,16 +44,16 @@
         return sum(self._window()) >= MIN_BAD_OUTCOMES
 
     @property
-    def bad_share(self) -> float:
+    def bad_fraction(self) -> float:
         """The fraction of bad outcomes among the latest ones; 0 if there are none."""
         window = self._window()
         return sum(window) / len(window) if window else 0.0
 
-    def note(self, is_bad: bool) -> None:
+    def record(self, is_bad: bool) -> None:
         """Record the outcome of a request."""
         self._outcomes.append(is_bad)
 
-    def note_overdue(self, count: int) -> None:
+    def set_overdue(self, count: int) -> None:
         """Set the number of requests in flight that already exceed the time of a good one."""
         self._overdue = count
 
@@ -64,24 +64,26 @@
         """Return whether an outlier may be sent a trial request."""
         return now >= self._next_trial_at
 
-    def note_trial(self, now: float) -> None:
+    def record_trial(self, now: float) -> None:
         """Record that a trial request was sent."""
         self._next_trial_at = now + TRIAL_INTERVAL_S
 
 
-def find_poor(regions: dict[str, dict[str, Standing]], current: frozenset[str]) -> frozenset[str]:
+def find_outliers(
+    regions: dict[str, dict[str, RecentOutcomes]], current: frozenset[str]
+) -> frozenset[str]:
     """Return the names of a service's upstreams that are outliers.
 
     Where a region has too many, the `current` outliers take precedence.
     """
-    known = [s for standings in regions.values() for s in standings.values() if s.is_known]
-    if len(known) < 2 or _lower_median([s.bad_share for s in known]) > MAX_MEDIAN_BAD_FRACTION:
+    known = [s for by_name in regions.values() for s in by_name.values() if s.is_known]
+    if len(known) < 2 or _lower_median([s.bad_fraction for s in known]) > MAX_MEDIAN_BAD_FRACTION:
         return frozenset()
     outliers: set[str] = set()
-    for standings in regions.values():
-        suspects = [name for name, standing in standings.items() if standing.is_suspect]
-        suspects.sort(key=lambda name: (name not in current, -standings[name].bad_share, name))
-        outliers.update(suspects[: int(MAX_OUTLIER_FRACTION * len(standings))])
+    for by_name in regions.values():
+        suspects = [name for name, outcomes in by_name.items() if outcomes.is_suspect]
+        suspects.sort(key=lambda name: (name not in current, -by_name[name].bad_fraction, name))
+        outliers.update(suspects[: int(MAX_OUTLIER_FRACTION * len(by_name))])
     return frozenset(outliers)
 
 
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -61,47 +61,47 @@
 class TestAdmission:
     def test_better_ranks_are_served_first_and_the_worst_is_evicted(self):
         made = gate()
-        grants = [made.offer("s", ticket(n), 0.0)[0] for n in range(4)]
+        grants = [made.request_slot("s", ticket(n), 0.0)[0] for n in range(4)]
         assert all(isinstance(g, Grant) for g in grants)
         for number, rank in enumerate((2, 1, 2, 1), start=10):
-            assert made.offer("s", ticket(number, rank), 0.0)[0] is None
-        decision, evicted = made.offer("s", ticket(20, 0), 0.0)
+            assert made.request_slot("s", ticket(number, rank), 0.0)[0] is None
+        decision, evicted = made.request_slot("s", ticket(20, 0), 0.0)
         assert decision is None
         assert [t.sequence for t, _ in evicted] == [12], "the newest of the worst rank is evicted"
-        decision, _ = made.offer("s", ticket(21, 2), 0.0)
+        decision, _ = made.request_slot("s", ticket(21, 2), 0.0)
         assert isinstance(decision, Refusal) and decision.retry_after_s > 0
         order = []
         for grant in grants:
             made.release(grant, 0.1, True)
-            order += [t.sequence for t, d in made.pump(0.1) if isinstance(d, Grant)]
+            order += [t.sequence for t, d in made.process_queues(0.1) if isinstance(d, Grant)]
         assert order == [20, 11, 13, 10]
 
     def test_a_request_that_cannot_meet_its_deadline_is_refused_immediately(self):
         made = gate()
         for number in range(4):
-            made.offer("s", ticket(number), 0.0)
-        decision, _ = made.offer("s", ticket(9, deadline=0.001), 0.0)
+            made.request_slot("s", ticket(number), 0.0)
+        decision, _ = made.request_slot("s", ticket(9, deadline=0.001), 0.0)
         assert isinstance(decision, Refusal) and "deadline" in decision.reason
 
     def test_a_queued_ticket_is_refused_when_its_deadline_passes(self):
         made = gate()
         for number in range(4):
-            made.offer("s", ticket(number), 0.0)
-        made.offer("s", ticket(9, deadline=1.0), 0.0)
-        assert made.pump(0.5) == []
-        [(late, decision)] = made.pump(1.0)
+            made.request_slot("s", ticket(number), 0.0)
+        made.request_slot("s", ticket(9, deadline=1.0), 0.0)
+        assert made.process_queues(0.5) == []
+        [(late, decision)] = made.process_queues(1.0)
         assert late.sequence == 9 and isinstance(decision, Refusal)
 
     def test_without_slots_and_control_plane_a_request_is_refused_immediately(self):
         made = Gate(Holder("e9"), directory())
         made.set_limit("s", 4)
-        assert made.offer("s", ticket(1), 0.5)[0] is None, "the leader may still lend slots"
-        decision, _ = made.offer("s", ticket(2), 60.0)
+        assert made.request_slot("s", ticket(1), 0.5)[0] is None, "the leader may still lend slots"
+        decision, _ = made.request_slot("s", ticket(2), 60.0)
         assert isinstance(decision, Refusal) and "cannot borrow" in decision.reason
 
     def test_without_a_region_a_request_is_refused(self):
         lost = Ticket(1, 0, 10.0, 0.0, ())
-        assert isinstance(gate().offer("s", lost, 0.0)[0], Refusal)
+        assert isinstance(gate().request_slot("s", lost, 0.0)[0], Refusal)
 
     def test_at_rate_limits_the_best_rank_is_served_first_and_late_requests_are_refused(
         self,
@@ -110,49 +110,49 @@
         for address in POOL:
             assert made.directory.record_limit(address, 0.25, 0.0, 0.0)
         number = 0
-        while isinstance(made.offer("s", ticket(number), 0.0)[0], Grant):
+        while isinstance(made.request_slot("s", ticket(number), 0.0)[0], Grant):
             number += 1
         assert number <= len(POOL)
         for place, rank in ((40, 2), (41, 1)):
-            assert made.offer("s", ticket(place, rank), 0.0)[0] is None
+            assert made.request_slot("s", ticket(place, rank), 0.0)[0] is None
         # All upstreams together accept one request per second.
-        decision, _ = made.offer("s", ticket(42, rank=3, deadline=0.2), 0.0)
+        decision, _ = made.request_slot("s", ticket(42, rank=3, deadline=0.2), 0.0)
         assert isinstance(decision, Refusal) and "rate limits" in decision.reason
         assert decision.retry_after_s > 0
-        decided = [t.sequence for t, d in made.pump(9.0) if isinstance(d, Grant)]
+        decided = [t.sequence for t, d in made.process_queues(9.0) if isinstance(d, Grant)]
         assert decided[:2] == [number, 41]
 
     def test_an_entry_without_a_part_of_any_limit_refuses_immediately(self):
         made = gate()
-        made.directory.divide_limits(lambda address, limit: Part(0.0))
+        made.directory.set_limit_division(lambda address, limit: Part(0.0))
         for address in POOL:
             made.directory.record_limit(address, 2.0, 0.0, 0.0)
-        decision, _ = made.offer("s", ticket(1), 0.0)
+        decision, _ = made.request_slot("s", ticket(1), 0.0)
         assert isinstance(decision, Refusal) and "rate limits" in decision.reason
         made.directory.record_limit(POOL[0], None, 0.5, 1.0)
-        assert isinstance(made.offer("s", ticket(2), 1.0)[0], Grant)
+        assert isinstance(made.request_slot("s", ticket(2), 1.0)[0], Grant)
 
     def test_a_grant_that_is_not_sent_returns_its_rate_limit_token(self):
         made = gate()
-        made.directory.divide_limits(
+        made.directory.set_limit_division(
             lambda address, limit: Part(limit if address == POOL[0] else 0.0)
         )
         for address in POOL:
             made.directory.record_limit(address, 0.1, 0.0, 0.0)
-        made.offer("s", ticket(1, deadline=0.1), 0.0)
-        grant = made.offer("s", ticket(2), 20.0)[0]
+        made.request_slot("s", ticket(1, deadline=0.1), 0.0)
+        grant = made.request_slot("s", ticket(2), 20.0)[0]
         assert isinstance(grant, Grant) and grant.is_counted
         made.release(grant, 20.1, False, was_sent=False)
-        assert isinstance(made.offer("s", ticket(3), 20.2)[0], Grant)
+        assert isinstance(made.request_slot("s", ticket(3), 20.2)[0], Grant)
 
     def test_a_withdrawn_ticket_takes_no_slot(self):
         made = gate()
-        grants = [made.offer("s", ticket(n), 0.0)[0] for n in range(4)]
+        grants = [made.request_slot("s", ticket(n), 0.0)[0] for n in range(4)]
         waiting = ticket(9)
-        made.offer("s", waiting, 0.0)
+        made.request_slot("s", waiting, 0.0)
         assert made.withdraw("s", waiting) and not made.withdraw("s", waiting)
         made.release(grants[0], 0.1, True)
-        assert made.pump(0.1) == [] and made.in_flight == 3
+        assert made.process_queues(0.1) == [] and made.in_flight == 3
 
     def test_requests_beyond_the_paid_rate_are_detected(self):
         paid = PaidRate(2.0, 0.0)
@@ -435,23 +435,23 @@
 
     def back_off_all(self, made: Gate, seconds: float, now: float) -> None:
         for address in POOL:
-            made._directory.ask_rest(address, seconds, now)
+            made._directory.record_backoff(address, seconds, now)
 
     def test_a_request_with_a_deadline_within_all_backoffs_is_refused_immediately(self):
         made = gate()
         self.back_off_all(made, 3.0, 0.0)
-        refusal, _ = made.offer("s", ticket(1, deadline=2.0), 0.0)
+        refusal, _ = made.request_slot("s", ticket(1, deadline=2.0), 0.0)
         assert isinstance(refusal, Refusal)
         assert 3.0 <= refusal.retry_after_s <= 3.0 * (1 + JITTER_FRACTION)
-        assert made.offer("s", ticket(2, deadline=10.0), 0.0)[0] is None
+        assert made.request_slot("s", ticket(2, deadline=10.0), 0.0)[0] is None
 
     def test_a_queued_request_is_refused_once_backoffs_exceed_its_deadline(self):
         made = gate()
-        grants = [made.offer("s", ticket(n), 0.0)[0] for n in range(4)]
-        assert made.offer("s", ticket(10, deadline=2.0), 0.0)[0] is None
+        grants = [made.request_slot("s", ticket(n), 0.0)[0] for n in range(4)]
+        assert made.request_slot("s", ticket(10, deadline=2.0), 0.0)[0] is None
         self.back_off_all(made, 3.0, 0.1)
         made.release(grants[0], 0.1, True)
-        ((waiting, refusal),) = made.pump(0.1)
+        ((waiting, refusal),) = made.process_queues(0.1)
         assert (waiting.sequence, type(refusal)) == (10, Refusal)
         assert made.waiting("s") == 0
 
@@ -459,19 +459,19 @@
         made = gate(slots=2)
         for address in POOL[1:]:
             made._directory.mark_leaving(address)
-        made._directory.ask_rest(POOL[0], 1.0, 0.0)
-        first, _ = made.offer("s", ticket(1), 2.0)
+        made._directory.record_backoff(POOL[0], 1.0, 0.0)
+        first, _ = made.request_slot("s", ticket(1), 2.0)
         assert isinstance(first, Grant)
-        assert made.offer("s", ticket(2), 2.0)[0] is None
-        assert made.pump(2.1) == []
+        assert made.request_slot("s", ticket(2), 2.0)[0] is None
+        assert made.process_queues(2.1) == []
         made.release(first, 2.1, True)
-        ((_, second),) = made.pump(2.1)
+        ((_, second),) = made.process_queues(2.1)
         assert isinstance(second, Grant)
 
     def test_only_a_new_incarnation_ends_a_backoff_early(self):
         made = directory()
         made.record_incarnation(POOL[0], "one", 0.0)
-        made.ask_rest(POOL[0], 5.0, 0.0)
+        made.record_backoff(POOL[0], 5.0, 0.0)
         made.record_success(POOL[0])
         made.end_trial(POOL[0], True)
         assert not made.is_usable(POOL[0], 1.0)
