--- a/src/finchway/entry/_view.py
+++ b/src/finchway/entry/_view.py
@@ -243,7 +243,8 @@
         report_times = [state.report.at for state in states if state is not None and state.report]
         age = f"{now - max(report_times):.3f} s ago" if report_times else "never"
         return (
-            f"{health.streak} failures in a row at {health.failed} of {len(addresses)} upstreams, "
+            f"{health.consecutive_failures} failures in a row "
+            f"at {health.failed} of {len(addresses)} upstreams, "
             f"last heard {age}, revision {self.revision}"
         )
 
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -14,7 +14,7 @@
 from finchway.gateway._service import ServicePlan
 from finchway.gateway._table import RegionUpstreams, UpstreamTable
 from finchway.gateway._task import Choice, ChoiceReason, PassedOver, Task
-from finchway.policy import HOMES, AttemptBudget, Candidate, choose_home
+from finchway.policy import UPSTREAMS_PER_KEY, AttemptBudget, Candidate, choose_for_key
 
 # Requests that a gateway may always have in flight at an upstream, however small its share is.
 MIN_OWN_REQUESTS = 2
@@ -215,9 +215,9 @@
                 # A streamed body cannot be sent again if the trial request is refused.
                 continue
             candidates.append(self._candidate(plan, region, record, now))
-            if len(candidates) == HOMES:
+            if len(candidates) == UPSTREAMS_PER_KEY:
                 break
-        chosen = choose_home(candidates, is_spilled)
+        chosen = choose_for_key(candidates, is_spilled)
         if chosen is None:
             return None
         record = upstreams.records[chosen.instance]
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -11,18 +11,18 @@
 from finchway.gateway._task import Task
 from finchway.observe import PlanChanged, RegionShare
 from finchway.policy import (
+    GrowthDetector,
     KeyMap,
     LocalFractionLimit,
     RateMeter,
     RegionLoad,
-    Settled,
     Spread,
     UpstreamOrders,
     assume_even_demand,
     find_outliers,
+    fraction_of_traffic,
     plan_spread,
     rank,
-    share_of_flow,
 )
 
 # Fraction of a region's slots that a plan fills; the rest absorbs uneven arrivals.
@@ -58,7 +58,7 @@
         self._meter = RateMeter()
         speed = SHIFT_RATE_FACTOR * bounds.shift_per_window / bounds.shift_window
         self._spread = Spread(home, speed)
-        self._settled = Settled(DEMAND_STABLE_S)
+        self._growth = GrowthDetector(DEMAND_STABLE_S)
         self._local_share_limit = LocalFractionLimit()
         self._max_local_share = 1.0
         self._key_map = KeyMap(home)
@@ -83,7 +83,7 @@
         """Count a caller's request and its key."""
         self._meter.add()
         if task.has_key:
-            self._key_map.note(task.key)
+            self._key_map.record(task.key)
 
     def note_warm_answer(self, region: str, seconds: float) -> None:
         """Record the time of an answer for a key that should be warm at the upstream."""
@@ -102,14 +102,14 @@
         if task.has_key:
             first = self._key_map.region_of(task.key)
         else:
-            first = self._key_map.region_in_turn()
+            first = self._key_map.next_region()
         others = rank(task.key, [name for name in usable if name not in (first, self._home)])
         return [name for name in dict.fromkeys((first, self._home, *others)) if name in usable]
 
     def upstreams_for(self, task: Task, region: str, names: tuple[str, ...]) -> list[str]:
         """Return a region's upstreams in order of preference, with the key's home first."""
         order = self._orders.order(task.key, names)
-        home = self._key_map.home_of(task.key, region)
+        home = self._key_map.balanced_upstream(task.key, region)
         if home is None or home == order[0] or home not in names:
             return order
         return [home, *(name for name in order if name != home)]
@@ -141,7 +141,7 @@
             self._shares_at = now
         share = self._shares.get(region)
         if share is None:
-            share = self._shares[region] = share_of_flow(
+            share = self._shares[region] = fraction_of_traffic(
                 self._home,
                 self._meter.rate(now),
                 region,
@@ -155,7 +155,7 @@
         regions = self._table.regions(self._service, now)
         if now - self._spread.followed_at >= PLAN_INTERVAL_S:
             capacity = {name: float(found.slots) for name, found in regions.items()}
-            self._spread.note_capacity(capacity, now)
+            self._spread.record_capacity(capacity, now)
             self._spread.follow(self._plan(now), now)
         names = {name: found.names for name, found in regions.items()}
         self._key_map.follow(self._spread.parts, names, now)
@@ -163,7 +163,7 @@
     def _plan(self, now: float) -> dict[str, float]:
         self._max_local_share = self._local_share_limit.max_fraction(now)
         loads = self._loads(now)
-        if not self._settled.note(sum(load.demand for load in loads.values()), now):
+        if not self._growth.record(sum(load.demand for load in loads.values()), now):
             loads = assume_even_demand(loads, set(self._zones().values()))
         plan = plan_spread(self._home, loads)
         self._log(loads, plan)
--- a/src/finchway/membership/_coordinator.py
+++ b/src/finchway/membership/_coordinator.py
@@ -104,7 +104,7 @@
         self._limits.merge(heartbeat.limits, now)
         self._awaited_holders.discard(heartbeat.holder)
         if not self._awaited_holders:
-            self._lender.learn_all()
+            self._lender.mark_all_reported()
         loans = []
         if is_new and not heartbeat.stopped and self._is_registered(heartbeat):
             loans = self._lender.lend(
--- a/src/finchway/policy/__init__.py
+++ b/src/finchway/policy/__init__.py
@@ -31,7 +31,7 @@
 from finchway.policy._limit_parts import part_of_limit
 from finchway.policy._local_fraction import LocalFractionLimit
 from finchway.policy._outliers import RecentOutcomes, find_outliers
-from finchway.policy._placement import HOMES, Candidate, UpstreamOrders, choose_home
+from finchway.policy._placement import UPSTREAMS_PER_KEY, Candidate, UpstreamOrders, choose_for_key
 from finchway.policy._region_health import RegionChoice, RegionHealth, RegionTrial
 from finchway.policy._retries import MAX_ATTEMPTS, Attempt, Outcome, RetryBudget, may_retry
 from finchway.policy._routing import Caller, EntryPoint, Routes, caller_position, client_block
@@ -58,14 +58,14 @@
     RegionLoad,
     Spread,
     assume_even_demand,
+    fraction_of_traffic,
     plan_spread,
-    share_of_flow,
 )
-from finchway.policy._windows import AttemptBudget, Pacer, RateMeter, Settled, WindowCount
+from finchway.policy._windows import AttemptBudget, GrowthDetector, Pacer, RateMeter, WindowCount
 
 __all__ = [
     "DEMOTED_RANK",
-    "HOMES",
+    "UPSTREAMS_PER_KEY",
     "MAX_ATTEMPTS",
     "Attempt",
     "BlockTable",
@@ -93,7 +93,7 @@
     "RetryBudget",
     "Routes",
     "ServiceRate",
-    "Settled",
+    "GrowthDetector",
     "ShareKey",
     "ShiftView",
     "Slots",
@@ -102,7 +102,7 @@
     "UpstreamState",
     "WaitingQueue",
     "caller_position",
-    "choose_home",
+    "choose_for_key",
     "client_block",
     "drained_instances",
     "drained_upstreams",
@@ -139,5 +139,5 @@
     "WindowCount",
     "assume_even_demand",
     "plan_spread",
-    "share_of_flow",
+    "fraction_of_traffic",
 ]
--- a/src/finchway/policy/_key_map.py
+++ b/src/finchway/policy/_key_map.py
@@ -11,9 +11,9 @@
   number of keys is within the bound for the keys that precede it in the order.
 
     keys = KeyMap("north")
-    keys.note("17")
+    keys.record("17")
     keys.follow({"north": 0.7, "south": 0.3}, {"north": ("n1", "n2"), "south": ("s1",)}, now)
-    keys.region_of("17"), keys.home_of("17", "north")
+    keys.region_of("17"), keys.balanced_upstream("17", "north")
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
     def __len__(self) -> int:
         return len(self._keys)
 
-    def note(self, key: str) -> None:
+    def record(self, key: str) -> None:
         """Count a request for a key."""
         state = self._keys.get(key)
         if state is None:
@@ -120,7 +120,7 @@
             is_kept = state.is_kept
         return self._home if is_kept else rank_weighted(key, self._other_parts)[0]
 
-    def region_in_turn(self) -> str:
+    def next_region(self) -> str:
         """Return the region for a request without a key, by weighted round robin."""
         for region, part in self._parts.items():
             self._credits[region] = self._credits.get(region, 0.0) + part
@@ -128,7 +128,7 @@
         self._credits[chosen] -= 1.0
         return chosen
 
-    def home_of(self, key: str, region: str) -> str | None:
+    def balanced_upstream(self, key: str, region: str) -> str | None:
         """Return a key's balanced upstream in a region; None means the first of its order."""
         return self._home_upstreams.get(region, {}).get(key)
 
--- a/src/finchway/policy/_lender.py
+++ b/src/finchway/policy/_lender.py
@@ -126,7 +126,7 @@
         lent = self._keys_by_holder.get(holder, set())
         return sorted((own | lent | wanted.keys()) & shares.keys())
 
-    def learn_all(self) -> None:
+    def mark_all_reported(self) -> None:
         """Record that every incarnation that may have borrowed earlier has reported its use."""
         self._all_reported = True
 
--- a/src/finchway/policy/_placement.py
+++ b/src/finchway/policy/_placement.py
@@ -7,7 +7,7 @@
 surge every key would reach every upstream and evict the others from its cache.
 
     order = UpstreamOrders().order("17", names)
-    chosen = choose_home([candidates[name] for name in order[:HOMES]])
+    chosen = choose_for_key([candidates[name] for name in order[:UPSTREAMS_PER_KEY]])
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from finchway.policy._hashing import rank
 
 # Upstreams of a region that serve a key; more would evict each other's keys from the caches.
-HOMES = 2
+UPSTREAMS_PER_KEY = 2
 # Maximum requests per slot at which an upstream takes requests for keys of other homes.
 MAX_RELIEF_LOAD = 0.85
 # Maximum requests per slot at which an upstream takes requests for its own keys.
@@ -60,7 +60,7 @@
         return cached
 
 
-def choose_home(ordered: list[Candidate], spilled: bool = False) -> Candidate | None:
+def choose_for_key(ordered: list[Candidate], spilled: bool = False) -> Candidate | None:
     """Return the first candidate of a key's order with room for a request; None if all are full.
 
     The home takes requests up to `MAX_HOME_LOAD` per slot, the others up to `MAX_RELIEF_LOAD`. A
--- a/src/finchway/policy/_region_health.py
+++ b/src/finchway/policy/_region_health.py
@@ -77,7 +77,7 @@
         )
 
     @property
-    def streak(self) -> int:
+    def consecutive_failures(self) -> int:
         """The number of consecutive failures."""
         return self._consecutive_failures
 
--- a/src/finchway/policy/_spread.py
+++ b/src/finchway/policy/_spread.py
@@ -82,12 +82,12 @@
     }
 
 
-def share_of_flow(
-    home: str, own_rate: float, target: str, loads: dict[str, RegionLoad], fellows: int
+def fraction_of_traffic(
+    home: str, own_rate: float, target: str, loads: dict[str, RegionLoad], gateways: int
 ) -> float:
     """Return one gateway's fraction of all requests that are sent to a target region.
 
-    Without any demand it is an equal part among all gateways, `fellows` in number.
+    Without any demand it is an equal part among all gateways, `gateways` in number.
     """
     flow = sum(
         load.demand * plan_spread(region, loads).get(target, 0.0)
@@ -95,7 +95,7 @@
         if load.demand > 0
     )
     if flow <= 0:
-        return 1.0 / max(fellows, 1)
+        return 1.0 / max(gateways, 1)
     own = own_rate * plan_spread(home, loads).get(target, 0.0)
     return min(1.0, own / flow)
 
@@ -128,7 +128,7 @@
         """The current parts, by region."""
         return dict(self._parts or {self._home: 1.0})
 
-    def note_capacity(self, capacity: dict[str, float], now: float) -> None:
+    def record_capacity(self, capacity: dict[str, float], now: float) -> None:
         """Record the regions' capacities; a large change allows fast changes of the parts.
 
         When a zone or region fails, its callers cannot wait for the parts to change at the normal
--- a/src/finchway/policy/_windows.py
+++ b/src/finchway/policy/_windows.py
@@ -112,7 +112,7 @@
         return self._rate
 
 
-class Settled:
+class GrowthDetector:
     """Detects when a growing value has stabilised; the result is final."""
 
     __slots__ = ("_stable_for_s", "_grew_at", "_highest", "_is_settled")
@@ -124,7 +124,7 @@
         self._grew_at = float("inf")
         self._is_settled = False
 
-    def note(self, value: float, now: float) -> bool:
+    def record(self, value: float, now: float) -> bool:
         """Record the value; return whether it has not grown by a quarter for `after` seconds."""
         if value > self._highest * self.GROWTH:
             self._highest = value
--- a/tests/unit/test_key_map.py
+++ b/tests/unit/test_key_map.py
@@ -18,13 +18,13 @@
     keys_map = KeyMap("north")
     for _ in range(times):
         for key in keys:
-            keys_map.note(key)
+            keys_map.record(key)
     keys_map.follow(parts or {"north": 1.0}, names, 0.0)
     return keys_map
 
 
 def home_in(keys_map: KeyMap, key, region):
-    return keys_map.home_of(key, region) or rank(key, NAMES[region])[0]
+    return keys_map.balanced_upstream(key, region) or rank(key, NAMES[region])[0]
 
 
 def homes_in(keys_map: KeyMap, region, keys=KEYS):
@@ -70,8 +70,8 @@
 
 def test_with_few_keys_per_upstream_only_the_hash_decides():
     keys_map = known_keys()
-    assert keys_map.home_of(KEYS[0], "west") is None
-    assert keys_map.home_of(KEYS[0], "south") is not None
+    assert keys_map.balanced_upstream(KEYS[0], "west") is None
+    assert keys_map.balanced_upstream(KEYS[0], "south") is not None
 
 
 def test_keys_return_when_the_part_recovers_and_only_keys_at_the_boundary_move():
@@ -101,7 +101,7 @@
     parts = {"north": 0.6, "south": 0.4}
     sent = []
     for step in range(500):
-        keys_map.note("hot")
+        keys_map.record("hot")
         keys_map.follow(parts, NAMES, step / 100)
         sent.append(keys_map.region_of("hot"))
     assert sent.count("south") / 500 == pytest.approx(0.4, abs=0.06)
@@ -109,7 +109,7 @@
 
 def test_requests_without_a_key_follow_the_parts():
     keys_map = known_keys(parts={"north": 0.5, "south": 0.3, "west": 0.2})
-    sent = [keys_map.region_in_turn() for _ in range(100)]
+    sent = [keys_map.next_region() for _ in range(100)]
     assert [sent.count(region) for region in NAMES] == [50, 30, 20]
 
 
@@ -131,7 +131,7 @@
     keys_map.follow({"north": 1.0}, NAMES, 100.0)
     assert len(keys_map) == 0
     assert not keys_map._ranks
-    assert keys_map.home_of(KEYS[0], "north") is None
+    assert keys_map.balanced_upstream(KEYS[0], "north") is None
 
 
 def test_an_unknown_key_is_placed_by_its_hash():
@@ -144,4 +144,4 @@
 def test_many_keys_are_placed_by_hash_alone():
     many = [str(number) for number in range(2_500)]
     keys_map = known_keys(many, times=1)
-    assert keys_map.home_of("7", "north") is None
+    assert keys_map.balanced_upstream("7", "north") is None
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -3,7 +3,7 @@
 import pytest
 
 from finchway.policy import (
-    HOMES,
+    UPSTREAMS_PER_KEY,
     AttemptBudget,
     Candidate,
     Pacer,
@@ -12,22 +12,22 @@
     Spread,
     UpstreamOrders,
     assume_even_demand,
-    choose_home,
+    choose_for_key,
+    fraction_of_traffic,
     plan_spread,
-    share_of_flow,
 )
 
 
 def ordered(orders: UpstreamOrders, key, count=8, busy=0.0, slots=6) -> list[Candidate]:
     names = tuple(f"u{i}" for i in range(count))
-    return [Candidate(name, slots, busy) for name in orders.order(key, names)[:HOMES]]
+    return [Candidate(name, slots, busy) for name in orders.order(key, names)[:UPSTREAMS_PER_KEY]]
 
 
 def test_a_key_stays_at_its_upstream_while_there_is_room():
     orders = UpstreamOrders()
-    first = choose_home(ordered(orders, "17")).instance
-    assert choose_home(ordered(orders, "17", busy=2)).instance == first
-    firsts = {choose_home(ordered(orders, str(key))).instance for key in range(200)}
+    first = choose_for_key(ordered(orders, "17")).instance
+    assert choose_for_key(ordered(orders, "17", busy=2)).instance == first
+    firsts = {choose_for_key(ordered(orders, str(key))).instance for key in range(200)}
     assert len(firsts) == 8
 
 
@@ -44,35 +44,35 @@
     orders = UpstreamOrders()
     homes = ordered(orders, "17", busy=0)
     homes[0].busy = 11
-    assert choose_home(homes) is homes[0]
+    assert choose_for_key(homes) is homes[0]
 
 
 def test_a_full_home_overflows_only_to_a_free_slot_of_the_next():
     orders = UpstreamOrders()
     homes = ordered(orders, "17", busy=4)
     homes[0].busy = 12
-    assert choose_home(homes) is homes[1]
+    assert choose_for_key(homes) is homes[1]
     homes[1].busy = 5
-    assert choose_home(homes) is None
+    assert choose_for_key(homes) is None
 
 
 def test_a_gateway_respects_its_limit_at_an_upstream():
     orders = UpstreamOrders()
     homes = ordered(orders, "17")
     homes[0].own, homes[0].own_most = 1, 1
-    assert choose_home(homes) is homes[1]
+    assert choose_for_key(homes) is homes[1]
     for home in homes:
         home.own, home.own_most = 1, 1
-    assert choose_home(homes) is None
+    assert choose_for_key(homes) is None
 
 
 def test_the_gateways_parts_of_a_region_sum_to_one():
     loads = {"north": RegionLoad(90, 60), "south": RegionLoad(30, 60)}
-    north = [share_of_flow("north", 15.0, "south", loads, 9) for _ in range(6)]
-    south = [share_of_flow("south", 10.0, "south", loads, 9) for _ in range(3)]
+    north = [fraction_of_traffic("north", 15.0, "south", loads, 9) for _ in range(6)]
+    south = [fraction_of_traffic("south", 10.0, "south", loads, 9) for _ in range(3)]
     assert sum(north) + sum(south) == pytest.approx(1)
     idle = {"north": RegionLoad(0, 60)}
-    assert share_of_flow("north", 0.0, "north", idle, 4) == 0.25
+    assert fraction_of_traffic("north", 0.0, "north", idle, 4) == 0.25
 
 
 def test_a_key_has_a_bounded_number_of_upstreams():
@@ -83,19 +83,19 @@
 
 def test_a_spilled_request_only_takes_a_free_slot():
     orders = UpstreamOrders()
-    assert choose_home(ordered(orders, "17", busy=6)) is not None
-    assert choose_home(ordered(orders, "17", busy=6), spilled=True) is None
-    assert choose_home(ordered(orders, "17", busy=2), spilled=True) is not None
+    assert choose_for_key(ordered(orders, "17", busy=6)) is not None
+    assert choose_for_key(ordered(orders, "17", busy=6), spilled=True) is None
+    assert choose_for_key(ordered(orders, "17", busy=2), spilled=True) is not None
 
 
 def test_parts_change_fast_only_after_a_loss_of_capacity():
     spread = Spread("north", speed=0.05)
-    spread.note_capacity({"north": 10, "south": 10}, 0.0)
+    spread.record_capacity({"north": 10, "south": 10}, 0.0)
     spread.follow({"north": 1.0}, 10.0)
-    spread.note_capacity({"north": 10, "south": 10}, 11.0)
+    spread.record_capacity({"north": 10, "south": 10}, 11.0)
     spread.follow({"north": 0.5, "south": 0.5}, 11.0)
     assert spread.parts["south"] == pytest.approx(0.05)
-    spread.note_capacity({"north": 5, "south": 10}, 12.0)
+    spread.record_capacity({"north": 5, "south": 10}, 12.0)
     spread.follow({"north": 0.5, "south": 0.5}, 12.0)
     assert spread.parts["south"] == pytest.approx(0.45)
 
@@ -104,10 +104,10 @@
     # The first known capacity must not count as one that has returned.
     spread = Spread("north", speed=0.05)
     spread.follow({"north": 1.0}, 0.0)
-    spread.note_capacity({"north": 10, "south": 10}, 0.0)
+    spread.record_capacity({"north": 10, "south": 10}, 0.0)
     spread.follow({"south": 1.0}, 1.0)
     assert spread.parts["south"] == pytest.approx(0.05)
-    spread.note_capacity({"north": 8, "south": 10}, 1.0)
+    spread.record_capacity({"north": 8, "south": 10}, 1.0)
     spread.follow({"south": 1.0}, 2.0)
     assert spread.parts["south"] == pytest.approx(0.1)
 
