--- a/bench/rests.py
+++ b/bench/rests.py
@@ -234,8 +234,8 @@
                 self._limit_log.merge(gateway.table.limits.told(), now)
                 heard = self._limit_log.since(gateway.known, now)
                 if heard is not None:
-                    gateway.known = heard.known
-                    gateway.table.limits.learn(heard.words)
+                    gateway.known = heard.position
+                    gateway.table.limits.learn(heard.reports)
             await trio.sleep(0.5)
 
     def _feed(self, version: int) -> Feed:
--- a/bench/surroundings.py
+++ b/bench/surroundings.py
@@ -259,7 +259,7 @@
     def facts(self) -> Facts:
         """What the upstream says of itself."""
         pushback = Pushback(leaving=self.leaving and not self.misleading)
-        return Facts(self.incarnation, self.report, asked=pushback)
+        return Facts(self.incarnation, self.report, pushback=pushback)
 
 
 class Surroundings(Protocol):
--- a/src/finchway/cli/_client.py
+++ b/src/finchway/cli/_client.py
@@ -147,7 +147,7 @@
         """Take in the rest that a replica asks for, up to what a person at a prompt waits."""
         headers = [(name.lower(), value) for name, value in response.headers]
         pushback = read_pushback(response.status, headers, b"", b"", time.time())
-        self._backoffs.start(address, min(pushback.rest_s, _MAX_BACKOFF_S), time.monotonic())
+        self._backoffs.start(address, min(pushback.backoff_s, _MAX_BACKOFF_S), time.monotonic())
 
 
 def as_error(status: int, content: bytes) -> FinchwayError:
--- a/src/finchway/entry/_call.py
+++ b/src/finchway/entry/_call.py
@@ -62,7 +62,7 @@
     incarnation: str = ""
     load: float | None = None
     not_run: bool = False
-    asked: Pushback = NO_PUSHBACK
+    pushback: Pushback = NO_PUSHBACK
 
 
 class CallError(Exception):
--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -312,7 +312,7 @@
         async with opened as reply:
             self._record_metadata(call.service, grant.address, reply.facts)
             if is_own_answer(reply.status):
-                self._record_limit(call.service, grant.address, reply.facts.asked, sent_at)
+                self._record_limit(call.service, grant.address, reply.facts.pushback, sent_at)
             if reply.facts.not_run:
                 self._view.directory.record_refusal(grant.address, trio.current_time())
                 raise UpstreamError(
@@ -370,22 +370,22 @@
         directory.record_incarnation(address, metadata.incarnation, now)
         if metadata.load is not None:
             directory.record_report(address, LoadReport(metadata.load, now))
-        if metadata.asked.leaving and directory.mark_leaving(address):
+        if metadata.pushback.leaving and directory.mark_leaving(address):
             self._timeline.record(EventKind.UPSTREAM_LEAVING, address, "said by its answer")
             self._metrics.count_asked(service, "leaving")
-        if metadata.asked.rest_s > 0:
-            directory.record_backoff(address, metadata.asked.rest_s, now)
-            detail = f"asks for {metadata.asked.rest_s:g} s of rest"
+        if metadata.pushback.backoff_s > 0:
+            directory.record_backoff(address, metadata.pushback.backoff_s, now)
+            detail = f"asks for {metadata.pushback.backoff_s:g} s of rest"
             self._timeline.record(EventKind.UPSTREAM_RESTING, address, detail)
             self._metrics.count_asked(service, "rest")
-        if metadata.asked.unread or metadata.asked.unread_limit is not None:
+        if metadata.pushback.invalid_retry_after or metadata.pushback.invalid_limit is not None:
             self._metrics.count_asked(service, "unreadable")
 
     def _record_limit(self, service: str, address: str, pushback: Pushback, sent_at: float) -> None:
         """Record the rate limit that a response states; an unreadable one is ignored."""
         if pushback.limit is not None:
             self._metrics.count_asked(service, "limit")
-        elif pushback.unread_limit is not None:
+        elif pushback.invalid_limit is not None:
             return
         now = trio.current_time()
         if self._view.directory.record_limit(address, pushback.limit, sent_at, now):
--- a/src/finchway/entry/_session.py
+++ b/src/finchway/entry/_session.py
@@ -299,8 +299,8 @@
         else:
             self._apply_changes(reply.changes)
         if reply.limits is not None:
-            self._view.directory.merge_limits(reply.limits.words, self._last_contact_at)
-            self._limits_known = reply.limits.known
+            self._view.directory.merge_limits(reply.limits.reports, self._last_contact_at)
+            self._limits_known = reply.limits.position
         if self._view.revision < reply.revision:
             return
         self._lease_until = max(self._lease_until, sent_at + reply.lease_s)
--- a/src/finchway/gateway/_askings.py
+++ b/src/finchway/gateway/_askings.py
@@ -51,12 +51,16 @@
     def note(self, upstream: Registration, pushback: Pushback, now: float) -> bool:
         """Apply and log the pushback of an answer; return whether it newly announces leaving."""
         life = upstream.life
-        if pushback.rest_s > 0:
-            self._backoffs.start(life, pushback.rest_s, now)
-            self._log(life, "asks for rest", f"its 503: {pushback.rest_s:g} s")
-        if pushback.unread:
-            self._log(life, "unreadable", f"its retry-after: {pushback.unread[:MAX_LOGGED_CHARS]}")
-        if pushback.rest_s > 0 or pushback.leaving or pushback.limit is not None:
+        if pushback.backoff_s > 0:
+            self._backoffs.start(life, pushback.backoff_s, now)
+            self._log(life, "asks for rest", f"its 503: {pushback.backoff_s:g} s")
+        if pushback.invalid_retry_after:
+            self._log(
+                life,
+                "unreadable",
+                f"its retry-after: {pushback.invalid_retry_after[:MAX_LOGGED_CHARS]}",
+            )
+        if pushback.backoff_s > 0 or pushback.leaving or pushback.limit is not None:
             self._set_latest(upstream.instance, life)
         return pushback.leaving and self._leaving.add(life)
 
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -381,7 +381,7 @@
         if answer.status == 421:
             record.note_failure(now)
             record.close_idle()
-        elif task.asked.rest_s > 0:
+        elif task.asked.backoff_s > 0:
             # The upstream requested a backoff, so its free slots must not be used for the retry.
             record.back_off(now, SHED_BACKOFF_S)
         elif self._router.note_refused(record, now):
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -57,8 +57,8 @@
     def note(self, life: str, pushback: Pushback, sent_at: float, now: float) -> None:
         """Apply the limit in an answer to a request sent at `sent_at`, unless unreadable."""
         before = self._named.rate(life)
-        if pushback.unread_limit is not None:
-            self._log(life, "unreadable", f"its limit: {pushback.unread_limit[:MAX_LOGGED_CHARS]}")
+        if pushback.invalid_limit is not None:
+            self._log(life, "unreadable", f"its limit: {pushback.invalid_limit[:MAX_LOGGED_CHARS]}")
             if pushback.limit is None:
                 return
         if not self._named.record(life, pushback.limit, sent_at, now):
@@ -72,7 +72,7 @@
         now = trio.current_time()
         for named in limits:
             if self._named.merge(named, now):
-                self._log_limit(named.life, named.rate, "control")
+                self._log_limit(named.incarnation, named.rate, "control")
 
     def told(self) -> list[LimitReport]:
         """Return the limits recently received from upstreams, for other gateways."""
--- a/src/finchway/gateway/_poll.py
+++ b/src/finchway/gateway/_poll.py
@@ -49,8 +49,8 @@
         if answer.order >= self.order:
             self.order, self.rest = answer.order, answer.more
         if answer.limits is not None:
-            self._note_limits(answer.limits.known)
+            self._note_limits(answer.limits.position)
 
     def _note_limits(self, known: LimitLogPosition) -> None:
-        if known.book != self.limits.book or known.order > self.limits.order:
+        if known.log_id != self.limits.log_id or known.order > self.limits.order:
             self.limits = known
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -103,7 +103,7 @@
                 digest=task.fingerprint if outcome.verdict is Verdict.UNKNOWN else "",
                 passed_over=choice.passed.resting,
                 rest_left_ms=_ms(choice.rest_left) or None,
-                asked_ms=_ms(task.asked.rest_s) or None,
+                asked_ms=_ms(task.asked.backoff_s) or None,
                 leaving=task.asked.leaving,
                 limit=choice.limit,
                 limit_ms=None if choice.limit is None else _ms(choice.limit_age),
@@ -118,13 +118,13 @@
     def count_pushback(self, task: Task) -> None:
         """Count the pushback of an answer by kind."""
         pushback = task.asked
-        if pushback.rest_s > 0:
+        if pushback.backoff_s > 0:
             self._metrics.count_asked(task.service, "rest")
         if pushback.leaving:
             self._metrics.count_asked(task.service, "leaving")
         if pushback.limit is not None:
             self._metrics.count_asked(task.service, "limit")
-        if pushback.unread or pushback.unread_limit is not None:
+        if pushback.invalid_retry_after or pushback.invalid_limit is not None:
             self._metrics.count_asked(task.service, "unreadable")
 
     def note_quarantined(self, task: Task) -> None:
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -235,7 +235,7 @@
             record,
             region,
             reason,
-            chosen.busy,
+            chosen.in_flight,
             now - record.reported_at,
             now - self._world.heard_at,
             plan.local_share,
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -243,7 +243,7 @@
 
     def _apply(self, feed: Feed, sent_at: float) -> None:
         if feed.limits is not None:
-            self._apply_limits(feed.limits.words)
+            self._apply_limits(feed.limits.reports)
         before = self._world.steering.revision
         if self._world.learn(feed, trio.current_time(), sent_at):
             self._log.note_applied(feed, before, self._world.steering.revision)
--- a/src/finchway/policy/_choice.py
+++ b/src/finchway/policy/_choice.py
@@ -41,7 +41,7 @@
     ejections: int = 0
     ejected_until: float = float("-inf")
     refusals: int = 0
-    rests_until: float = float("-inf")
+    backoff_until: float = float("-inf")
     leaving: bool = False
     drained: bool = False
     incarnation: str = ""
@@ -102,7 +102,7 @@
         """
         state = self._states.get(address)
         if state:
-            state.rests_until = now + min(
+            state.backoff_until = now + min(
                 MAX_REFUSAL_BACKOFF_S, REFUSAL_BACKOFF_S * 2**state.refusals
             )
             state.refusals += 1
@@ -244,7 +244,7 @@
         state = self._states.get(address)
         if state is None or state.leaving or state.drained:
             return False
-        if now < max(state.ejected_until, state.rests_until):
+        if now < max(state.ejected_until, state.backoff_until):
             return False
         key = self._incarnation_key(address)
         return self._backoffs.may_send(key, now) and self._rate_limiter.may_send(key, now)
--- a/src/finchway/policy/_key_map.py
+++ b/src/finchway/policy/_key_map.py
@@ -49,11 +49,11 @@
 class _KeyState(Struct):
     """The position of a recently seen key in the order, and its decayed request count."""
 
-    place: float
+    position: float
     count: float = 0.0
     is_kept: bool | None = None
-    kept_part: float = 1.0
-    owed: float = 0.0
+    kept_fraction: float = 1.0
+    credit: float = 0.0
 
 
 class KeyMap:
@@ -82,7 +82,7 @@
             if len(self._keys) >= MAX_KEYS:
                 return
             state = self._keys[key] = _KeyState(position("spread", key))
-            insort(self._order, (state.place, key))
+            insort(self._order, (state.position, key))
             self._keys_changed = True
         state.count += 1.0
 
@@ -112,10 +112,10 @@
             return self._home
         if state is None or state.is_kept is None:
             is_kept = position("spread", key) < self._parts.get(self._home, 0.0)
-        elif 0.0 < state.kept_part < 1.0:
-            state.owed += state.kept_part
-            is_kept = state.owed >= 0.5
-            state.owed -= is_kept
+        elif 0.0 < state.kept_fraction < 1.0:
+            state.credit += state.kept_fraction
+            is_kept = state.credit >= 0.5
+            state.credit -= is_kept
         else:
             is_kept = state.is_kept
         return self._home if is_kept else rank_weighted(key, self._other_parts)[0]
@@ -141,8 +141,8 @@
             state.count *= decay
         for key in [key for key, state in self._keys.items() if state.count < MIN_COUNT]:
             self._keys_changed = True
-            place = self._keys.pop(key).place
-            del self._order[bisect_left(self._order, (place, key))]
+            key_position = self._keys.pop(key).position
+            del self._order[bisect_left(self._order, (key_position, key))]
             for region in self._upstreams:
                 self._ranks.pop((key, region), None)
 
@@ -162,10 +162,10 @@
             before += width
 
     def _update_kept(self, state: _KeyState, start: float, end: float, part: float) -> None:
-        state.kept_part = 1.0
+        state.kept_fraction = 1.0
         if end - start > SPLIT_THRESHOLD:
             state.is_kept = start < part
-            state.kept_part = min(1.0, max(0.0, (part - start) / (end - start)))
+            state.kept_fraction = min(1.0, max(0.0, (part - start) / (end - start)))
             return
         middle = (start + end) / 2
         if state.is_kept is None:
--- a/src/finchway/policy/_lender.py
+++ b/src/finchway/policy/_lender.py
@@ -22,7 +22,7 @@
 
     demand: Demand
     granted: dict[int, Slots]
-    heard_at: float
+    last_heartbeat: float
     acked: int = 0
 
 
@@ -88,11 +88,11 @@
             demand = wanted.get(key) or Demand(key[0], key[1])
             borrowers = self._borrowers.setdefault(key, {})
             oldest = now - self._max_loan_lifetime(key[0], longest)
-            for silent in [name for name, b in borrowers.items() if b.heard_at < oldest]:
+            for silent in [name for name, b in borrowers.items() if b.last_heartbeat < oldest]:
                 del borrowers[silent]
                 self._keys_by_holder.pop(silent, None)
             borrower = borrowers.get(holder) or _Borrower(demand, {}, now)
-            borrower.demand, borrower.heard_at, borrower.acked = (
+            borrower.demand, borrower.last_heartbeat, borrower.acked = (
                 demand,
                 now,
                 max(borrower.acked, acked),
--- a/src/finchway/policy/_placement.py
+++ b/src/finchway/policy/_placement.py
@@ -27,20 +27,20 @@
 class Candidate(Struct):
     """An upstream that may serve a request.
 
-    `busy` is the estimated number of requests in flight from all gateways, `own` the number from
-    this gateway, and `own_most` the limit on the latter.
+    `in_flight` is the estimated number of requests in flight from all gateways, `own_in_flight` the
+    number from this gateway, and `own_limit` the limit on the latter.
     """
 
     instance: str
     slots: int
-    busy: float = 0.0
-    own: int = 0
-    own_most: int = 1_000_000
+    in_flight: float = 0.0
+    own_in_flight: int = 0
+    own_limit: int = 1_000_000
 
     @property
     def load_after(self) -> float:
         """Requests per slot including this one."""
-        return (self.busy + 1) / max(self.slots, 1)
+        return (self.in_flight + 1) / max(self.slots, 1)
 
 
 class UpstreamOrders:
@@ -67,7 +67,7 @@
     request that `spilled` over from another region is cached nowhere and has no home.
     """
     for index, candidate in enumerate(ordered):
-        if candidate.own >= candidate.own_most:
+        if candidate.own_in_flight >= candidate.own_limit:
             continue
         is_home = index == 0 and not spilled
         if candidate.load_after <= (MAX_HOME_LOAD if is_home else MAX_RELIEF_LOAD):
--- a/src/finchway/pushback/_limit_log.py
+++ b/src/finchway/pushback/_limit_log.py
@@ -15,17 +15,17 @@
 
 
 class LimitLogPosition(Struct, frozen=True, array_like=True):
-    """A position in the log of one replica process, `book`."""
+    """A position in the log of one replica process, `log_id`."""
 
-    book: str = ""
+    log_id: str = ""
     order: int = 0
 
 
 class LimitLogEntries(Struct, frozen=True, array_like=True):
     """Reports after a position in the log, and the position that they reach."""
 
-    known: LimitLogPosition
-    words: list[LimitReport]
+    position: LimitLogPosition
+    reports: list[LimitReport]
 
 
 class LimitLog:
@@ -44,10 +44,10 @@
         """Merge received reports; return whether any of them changed the log."""
         before = self._last_order
         for report in reports:
-            if self._reports.merge(report, now) or report.life not in self._orders:
+            if self._reports.merge(report, now) or report.incarnation not in self._orders:
                 self._last_order += 1
-                self._orders.pop(report.life, None)
-                self._orders[report.life] = self._last_order
+                self._orders.pop(report.incarnation, None)
+                self._orders[report.incarnation] = self._last_order
         for incarnation in [name for name in self._orders if self._has_expired(name, now)]:
             del self._orders[incarnation]
             self._reports.forget(incarnation)
@@ -55,7 +55,7 @@
 
     def since(self, known: LimitLogPosition, now: float) -> LimitLogEntries | None:
         """Return the reports after a position, oldest first; None if there are none."""
-        order = known.order if known.book == self._log_id else 0
+        order = known.order if known.log_id == self._log_id else 0
         newer = [
             (number, incarnation) for incarnation, number in self._orders.items() if number > order
         ]
--- a/src/finchway/pushback/_limit_reports.py
+++ b/src/finchway/pushback/_limit_reports.py
@@ -18,7 +18,7 @@
     `rate` is in requests per second from all processes, None if it no longer announces a limit.
     """
 
-    life: str
+    incarnation: str
     rate: float | None
     age: float
 
@@ -83,9 +83,9 @@
         message.
         """
         named_at = now - max(0.0, other.age)
-        report = self._reports.get(other.life)
+        report = self._reports.get(other.incarnation)
         if report is None:
-            self._add(other.life, other.rate, named_at, is_direct=False)
+            self._add(other.incarnation, other.rate, named_at, is_direct=False)
             return other.rate is not None
         if named_at <= report.named_at or (report.is_direct and report.rate == other.rate):
             return False
--- a/src/finchway/pushback/_pushback.py
+++ b/src/finchway/pushback/_pushback.py
@@ -16,17 +16,17 @@
 class Pushback(Struct, frozen=True):
     """What a response requests of the process that receives it.
 
-    `rest_s` is the requested backoff in seconds, `leaving` marks an upstream that accepts no new
+    `backoff_s` is the requested backoff in seconds, `leaving` marks an upstream that accepts no new
     requests until it ends, and `limit` is the rate in requests per second that it accepts from all
-    processes together, None without a valid one. `unread` is an invalid `Retry-After` value,
-    `unread_limit` an invalid limit.
+    processes together, None without a valid one. `invalid_retry_after` is an invalid `Retry-After`
+    value, `invalid_limit` an invalid limit.
     """
 
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     leaving: bool = False
-    unread: str = ""
+    invalid_retry_after: str = ""
     limit: float | None = None
-    unread_limit: str | None = None
+    invalid_limit: str | None = None
 
 
 NO_PUSHBACK = Pushback()
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -206,7 +206,7 @@
         )
         self.world.learn(feed, trio.current_time())
         if feed.limits is not None:
-            self.table.limits.learn(feed.limits.words)
+            self.table.limits.learn(feed.limits.reports)
         self.table.refresh(trio.current_time())
 
     def configure(self, version: int = 1, limits: Limits | None = None, **fields) -> None:
@@ -269,7 +269,7 @@
         for subject in subjects:
             update = limit_log.since(known[subject], now)
             if update is not None:
-                known[subject] = update.known
+                known[subject] = update.position
             subject.apply_feed(registrations, subject.names, limits=update)
         await trio.sleep(FEED_INTERVAL_S)
 
--- a/tests/unit/test_feed_server.py
+++ b/tests/unit/test_feed_server.py
@@ -71,8 +71,8 @@
                 poll = Subscribe(beat=other, revision=0, life=first.life, limits=known)
                 answer = await server.answer(poll)
                 if answer.limits is not None:
-                    known = answer.limits.known
-                    answered.append((trio.current_time(), [w.rate for w in answer.limits.words]))
+                    known = answer.limits.position
+                    answered.append((trio.current_time(), [w.rate for w in answer.limits.reports]))
 
         async def report_limit(rate):
             beat = msgspec.structs.replace(limited, limits=[LimitReport("i-1", rate, 0.0)])
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -113,17 +113,17 @@
     gateway.record("i-1", 2.5, 0.0, 1.0)
     assert replica.merge(gateway.reports_to_send(1.2), 1.3)
     first = replica.since(LimitLogPosition(), 1.5)
-    assert [(report.life, report.rate) for report in first.words] == [("i-1", 2.5)]
-    assert first.words[0].age == pytest.approx(0.4)
+    assert [(report.incarnation, report.rate) for report in first.reports] == [("i-1", 2.5)]
+    assert first.reports[0].age == pytest.approx(0.4)
     assert not replica.merge(gateway.reports_to_send(2.0), 2.1)
-    assert replica.since(first.known, 2.2) is None
+    assert replica.since(first.position, 2.2) is None
     gateway.record("i-1", None, 3.0, 3.1)
     replica.merge(gateway.reports_to_send(3.2), 3.3)
-    later = replica.since(first.known, 3.4)
-    assert [(report.life, report.rate) for report in later.words] == [("i-1", None)]
+    later = replica.since(first.position, 3.4)
+    assert [(report.incarnation, report.rate) for report in later.reports] == [("i-1", None)]
     # Another replica process has its own numbering.
-    assert LimitLog().since(later.known, 3.4) is None
-    assert len(replica.since(LimitLogPosition("another", 99), 3.4).words) == 1
+    assert LimitLog().since(later.position, 3.4) is None
+    assert len(replica.since(LimitLogPosition("another", 99), 3.4).reports) == 1
 
 
 def test_older_reports_are_ignored_and_repeats_do_not_refresh_direct_ones():
@@ -144,12 +144,13 @@
     for number in range(40):
         reports.record(f"i-{number:02}", 1.0, 0.0, 1.0)
     sent = [
-        {report.life for report in reports.reports_to_send(1.1 + step / 10)} for step in range(3)
+        {report.incarnation for report in reports.reports_to_send(1.1 + step / 10)}
+        for step in range(3)
     ]
     assert [len(lives) for lives in sent] == [16, 16, 16]
     assert len(set.union(*sent)) == 40
     reports.record("i-00", 3.0, 1.5, 1.6)
-    assert reports.reports_to_send(1.7)[0].life == "i-00"
+    assert reports.reports_to_send(1.7)[0].incarnation == "i-00"
     assert reports.reports_to_send(30.0) == []
 
 
@@ -157,7 +158,9 @@
     replica = LimitLog()
     replica.merge([LimitReport("i-1", 2.0, 0.0)], 0.0)
     replica.merge([LimitReport("i-2", 2.0, 0.0)], 100.0)
-    assert [report.life for report in replica.since(LimitLogPosition(), 100.0).words] == ["i-2"]
+    assert [report.incarnation for report in replica.since(LimitLogPosition(), 100.0).reports] == [
+        "i-2"
+    ]
 
 
 def test_replies_are_bounded_and_the_next_one_continues():
@@ -165,8 +168,8 @@
     replica.merge([LimitReport(f"i-{n}", 1.0, 0.0) for n in range(300)], 0.0)
     known, seen = LimitLogPosition(), []
     while (batch := replica.since(known, 1.0)) is not None:
-        assert len(batch.words) <= 128
-        known, seen = batch.known, seen + [report.life for report in batch.words]
+        assert len(batch.reports) <= 128
+        known, seen = batch.position, seen + [report.incarnation for report in batch.reports]
     assert len(seen) == len(set(seen)) == 300
 
 
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -43,26 +43,26 @@
 def test_a_key_queues_at_its_home_rather_than_use_a_cold_upstream():
     orders = UpstreamOrders()
     homes = ordered(orders, "17", busy=0)
-    homes[0].busy = 11
+    homes[0].in_flight = 11
     assert choose_for_key(homes) is homes[0]
 
 
 def test_a_full_home_overflows_only_to_a_free_slot_of_the_next():
     orders = UpstreamOrders()
     homes = ordered(orders, "17", busy=4)
-    homes[0].busy = 12
+    homes[0].in_flight = 12
     assert choose_for_key(homes) is homes[1]
-    homes[1].busy = 5
+    homes[1].in_flight = 5
     assert choose_for_key(homes) is None
 
 
 def test_a_gateway_respects_its_limit_at_an_upstream():
     orders = UpstreamOrders()
     homes = ordered(orders, "17")
-    homes[0].own, homes[0].own_most = 1, 1
+    homes[0].own_in_flight, homes[0].own_limit = 1, 1
     assert choose_for_key(homes) is homes[1]
     for home in homes:
-        home.own, home.own_most = 1, 1
+        home.own_in_flight, home.own_limit = 1, 1
     assert choose_for_key(homes) is None
 
 
--- a/tests/unit/test_pushback.py
+++ b/tests/unit/test_pushback.py
@@ -77,20 +77,20 @@
 def test_any_headers_are_parsed(status, headers):
     extra = [(name, value) for _, value in headers for name in (b"retry-after", LIMIT)]
     found = parse(status, *headers, *extra)
-    assert math.isfinite(found.rest_s)
+    assert math.isfinite(found.backoff_s)
     assert found.limit is None or (math.isfinite(found.limit) and found.limit >= 0)
-    assert found.rest_s == 0 or status == 503
+    assert found.backoff_s == 0 or status == 503
 
 
 def test_only_a_503_requests_a_backoff():
-    assert parse(503, (b"retry-after", b"3")) == Pushback(rest_s=3.0)
+    assert parse(503, (b"retry-after", b"3")) == Pushback(backoff_s=3.0)
     for status in (200, 301, 421, 429, 500, 502):
         assert parse(status, (b"retry-after", b"3")) == Pushback()
 
 
 def test_the_longest_retry_after_applies_and_invalid_ones_are_reported():
     found = parse(503, (b"retry-after", b"1"), (b"retry-after", b"nan"), (b"retry-after", b"2"))
-    assert found == Pushback(rest_s=2.0, unread="nan")
+    assert found == Pushback(backoff_s=2.0, invalid_retry_after="nan")
 
 
 def test_any_response_of_the_intended_upstream_may_carry_a_leaving_mark():
@@ -110,10 +110,10 @@
 
 def test_the_lowest_limit_applies_and_invalid_ones_are_reported():
     found = parse(200, (LIMIT, b"3"), (LIMIT, b"-1"), (LIMIT, b"2.5"))
-    assert found == Pushback(limit=2.5, unread_limit="-1")
+    assert found == Pushback(limit=2.5, invalid_limit="-1")
     for value in (b"nan", b"1,2", b"1e3", b"", b"Mon, 23 Nov 2026 00:00:00 GMT"):
         assert parse(200, (LIMIT, value)).limit is None
-        assert parse(200, (LIMIT, value)).unread_limit == value.decode()
+        assert parse(200, (LIMIT, value)).invalid_limit == value.decode()
 
 
 def test_only_a_response_to_a_later_request_raises_a_limit():
