--- a/bench/feed.py
+++ b/bench/feed.py
@@ -13,15 +13,15 @@
 
 from finchway.control._feed import LONG_POLL_S
 from finchway.feed import (
+    ClusterView,
     Feed,
-    GatewayBeat,
+    GatewayHeartbeat,
     GatewayPeer,
     RegionDemand,
     ReplicaAddress,
     Roster,
     ServiceRate,
     Subscribe,
-    World,
 )
 from finchway.gateway._session import DEMAND_EVERY_S
 from finchway.pushback import LimitLogPosition
@@ -68,7 +68,7 @@
 
 def make_question() -> Subscribe:
     """Return a gateway's question."""
-    beat = GatewayBeat(
+    heartbeat = GatewayHeartbeat(
         name="gateway-1",
         incarnation="0123456789ab",
         address="10.1.250.250:8548",
@@ -80,7 +80,7 @@
         rates=[ServiceRate(f"service-{n}", 12.34) for n in range(SERVICES)],
     )
     return Subscribe(
-        beat=beat, revision=1_000, life="0123456789ab", order=1_000, roster=1_000, limits=KNOWN
+        beat=heartbeat, revision=1_000, life="0123456789ab", order=1_000, roster=1_000, limits=KNOWN
     )
 
 
@@ -90,10 +90,10 @@
     for _ in range(REPEATS):
         data = msgspec.msgpack.encode(feed)
     encode = (time.perf_counter() - started) / REPEATS
-    world = World()
+    view = ClusterView()
     started = time.perf_counter()
     for number in range(REPEATS):
-        world.learn(msgspec.msgpack.decode(data, type=Feed), float(number))
+        view.learn(msgspec.msgpack.decode(data, type=Feed), float(number))
     return len(data), encode, (time.perf_counter() - started) / REPEATS
 
 
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -20,7 +20,7 @@
 
 from bench.raw import answer, header_of, read_message
 from finchway.catalog import Backend, Item, ItemKind, Route, RouteType, ServiceSpec
-from finchway.feed import Feed, GatewayPeer, HeardUpstream, RegionDemand, Roster, World
+from finchway.feed import ClusterView, Feed, GatewayPeer, RegionDemand, Roster, UpstreamHeartbeat
 from finchway.gateway import (
     Bounds,
     Forwarder,
@@ -132,16 +132,16 @@
         name = f"g-{zone}"
         self.zone = zone
         self.address = ""
-        self.world = World()
+        self.view = ClusterView()
         self.writer = LogWriter()
         decisions = DecisionLog(name, self.writer)
         self.known = LimitLogPosition()
-        self.table = table = UpstreamTable(name, lambda: REGIONS, self.world, Bounds(), decisions)
-        router = Router(zone, lambda: REGIONS, self.world, table, Bounds())
-        log = RequestLog(self.world, decisions, GatewayMetrics(name), LoopLag())
-        self._suspects = SuspectDesk(self.world, table, log, lambda report: None)
+        self.table = table = UpstreamTable(name, lambda: REGIONS, self.view, Bounds(), decisions)
+        router = Router(zone, lambda: REGIONS, self.view, table, Bounds())
+        log = RequestLog(self.view, decisions, GatewayMetrics(name), LoopLag())
+        self._suspects = SuspectDesk(self.view, table, log, lambda report: None)
         self._forwarder = Forwarder(
-            self.world, table, router, NAMES, log, self._suspects, Bounds().apply_within
+            self.view, table, router, NAMES, log, self._suspects, Bounds().apply_within
         )
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -149,7 +149,7 @@
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
             self.address = f"127.0.0.1:{probe.getsockname()[1]}"
-        limits = self.world.steering.catalog
+        limits = self.view.steering.catalog
         server = HttpServer(self.address, self._forwarder.serve, lambda: limits.limits)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._suspects.run)
@@ -230,7 +230,7 @@
                 while gateway.writer._take():
                     pass
                 now = trio.current_time()
-                gateway.world.learn(self._feed(version), now)
+                gateway.view.learn(self._feed(version), now)
                 self._limit_log.merge(gateway.table.limits.told(), now)
                 heard = self._limit_log.since(gateway.known, now)
                 if heard is not None:
@@ -247,7 +247,7 @@
             roster=Roster(
                 version=version, serving=[GatewayPeer(f"g-{z}", "", r) for z, r in REGIONS.items()]
             ),
-            upstreams=[HeardUpstream(u.registration(), 0.0) for u in self._upstreams],
+            upstreams=[UpstreamHeartbeat(u.registration(), 0.0) for u in self._upstreams],
             demand=[RegionDemand(region, "s", self._rate) for region in REGIONS.values()],
         )
 
--- a/src/finchway/control/_feed.py
+++ b/src/finchway/control/_feed.py
@@ -11,11 +11,11 @@
 from finchway.feed import (
     Feed,
     GatewayTable,
-    HeardUpstream,
     ReplicaAddress,
     Roster,
-    ShareHeard,
+    ShareHeartbeats,
     Subscribe,
+    UpstreamHeartbeat,
 )
 from finchway.pushback import LimitLog
 from finchway.registry import AddressOwners, ReceivedHeartbeat, Registration, Registry
@@ -82,7 +82,7 @@
             self._unshared.append(registration.instance)
         return is_new
 
-    def record_shared_heartbeats(self, shared: ShareHeard) -> None:
+    def record_shared_heartbeats(self, shared: ShareHeartbeats) -> None:
         """Record heartbeats that a peer replica received."""
         now = trio.current_time()
         for received in shared.upstreams:
@@ -146,7 +146,7 @@
             order=page[-1].order if more else self._registry.order,
             image=steering.image(poll.revision if known else -1),
             upstreams=[
-                HeardUpstream(received.registration, round(now - received.heard_at, 3))
+                UpstreamHeartbeat(received.registration, round(now - received.heard_at, 3))
                 for received in page
             ],
             more=more,
@@ -190,9 +190,11 @@
             heartbeats += silent
         if not heartbeats:
             return
-        shared = ShareHeard(
+        shared = ShareHeartbeats(
             upstreams=[
-                HeardUpstream(h.registration, round(now - h.heard_at, 3)) for h in heartbeats if h
+                UpstreamHeartbeat(h.registration, round(now - h.heard_at, 3))
+                for h in heartbeats
+                if h
             ]
         )
         members = self._runner.core.members
--- a/src/finchway/control/_server.py
+++ b/src/finchway/control/_server.py
@@ -16,7 +16,7 @@
 from finchway.control._replica import ReplicaRunner
 from finchway.control._replica_set import ReplicaSetPlanner, with_expected, without_name
 from finchway.exceptions import ConflictError, FinchwayError, NotLeaderError, UnavailableError
-from finchway.feed import ReportedRequests, ShareHeard, Subscribe
+from finchway.feed import ReportedRequests, ShareHeartbeats, Subscribe
 from finchway.membership import (
     Coordinator,
     Heartbeat,
@@ -128,7 +128,7 @@
                 return None
             case Subscribe():
                 return await self._feed.answer(body)
-            case ShareHeard():
+            case ShareHeartbeats():
                 self._feed.record_shared_heartbeats(body)
                 return None
             case ReportedRequests(reports=reports):
--- a/src/finchway/feed/__init__.py
+++ b/src/finchway/feed/__init__.py
@@ -4,39 +4,39 @@
 of any one replica has no effect. The state that it merges never goes back.
 """
 
-from finchway.feed._cluster_view import World
+from finchway.feed._cluster_view import ClusterView
 from finchway.feed._directory import choose_gateways
 from finchway.feed._gateway_table import GatewayStatus, GatewayTable
 from finchway.feed._messages import (
     Feed,
-    GatewayBeat,
+    GatewayHeartbeat,
     GatewayPeer,
-    HeardUpstream,
     RegionDemand,
     ReplicaAddress,
     ReportedRequests,
     Roster,
     ServiceRate,
-    ShareHeard,
+    ShareHeartbeats,
     Subscribe,
+    UpstreamHeartbeat,
 )
-from finchway.feed._peer_gateways import Fellows
+from finchway.feed._peer_gateways import PeerGateways
 
 __all__ = [
     "Feed",
-    "Fellows",
-    "GatewayBeat",
+    "PeerGateways",
+    "GatewayHeartbeat",
     "GatewayTable",
     "GatewayPeer",
     "GatewayStatus",
-    "HeardUpstream",
+    "UpstreamHeartbeat",
     "RegionDemand",
     "ReplicaAddress",
     "ReportedRequests",
     "Roster",
     "ServiceRate",
-    "ShareHeard",
+    "ShareHeartbeats",
     "Subscribe",
-    "World",
+    "ClusterView",
     "choose_gateways",
 ]
--- a/src/finchway/feed/_cluster_view.py
+++ b/src/finchway/feed/_cluster_view.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from finchway.feed._messages import Feed, RegionDemand, Roster
-from finchway.feed._peer_gateways import Fellows
+from finchway.feed._peer_gateways import PeerGateways
 from finchway.registry import Registry
 from finchway.state import Steering
 
@@ -34,7 +34,7 @@
     demand_at: float = float("-inf")
 
 
-class World:
+class ClusterView:
     """The steering state, upstreams and peer gateways as known to a gateway.
 
     Replicas may disagree on which processes are live, so their reports are kept separately and
@@ -57,7 +57,7 @@
         self._silent_since: dict[str, float] = {}
         self._serving: tuple[str, ...] = ()
         self._peers: dict[str, str] = {}
-        self._fellows = Fellows()
+        self._peer_gateways = PeerGateways()
         self._counts: deque[tuple[float, int]] = deque()
         self._changes = 0
 
@@ -120,9 +120,9 @@
         return self._peers
 
     @property
-    def fellows(self) -> Fellows:
+    def peer_gateways(self) -> PeerGateways:
         """The gateways among which a deployment-wide limit is divided."""
-        return self._fellows
+        return self._peer_gateways
 
     def serving_count(self, now: float) -> int:
         """Return the largest recent number of serving gateways, at least one.
@@ -213,7 +213,7 @@
         rosters = [report.roster for report in self._fresh_reports()]
         self._peers = {peer.name: peer.address for roster in rosters for peer in roster.serving}
         regions = {peer.name: peer.region for roster in rosters for peer in roster.serving}
-        self._fellows.note(regions, now)
+        self._peer_gateways.update(regions, now)
         serving = tuple(sorted(self._peers))
         if serving != self._serving or not self._counts:
             self._serving = serving
--- a/src/finchway/feed/_directory.py
+++ b/src/finchway/feed/_directory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from finchway.feed._messages import GatewayBeat
+from finchway.feed._messages import GatewayHeartbeat
 
 MAX_GATEWAYS = 64
 MIN_ZONE_GATEWAYS = 2
@@ -10,7 +10,7 @@
 
 
 def choose_gateways(
-    gateways: list[GatewayBeat],
+    gateways: list[GatewayHeartbeat],
     region: str,
     zone: str,
     allowed: frozenset[str],
--- a/src/finchway/feed/_gateway_table.py
+++ b/src/finchway/feed/_gateway_table.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from finchway.feed._messages import GatewayBeat, GatewayPeer, RegionDemand
+from finchway.feed._messages import GatewayHeartbeat, GatewayPeer, RegionDemand
 
 # Time for which a zone counts as congested after its gateways have reported it. Its callers are
 # sent to the whole region meanwhile, which ends the reports, so a short time causes oscillation.
@@ -16,7 +16,7 @@
 class GatewayStatus(Struct, frozen=True):
     """A gateway's newest heartbeat and its age in seconds."""
 
-    heartbeat: GatewayBeat
+    heartbeat: GatewayHeartbeat
     age: float
 
 
@@ -25,10 +25,10 @@
 
     def __init__(self, silent_after: float) -> None:
         self._silent_after = silent_after
-        self._latest: dict[str, tuple[GatewayBeat, float]] = {}
+        self._latest: dict[str, tuple[GatewayHeartbeat, float]] = {}
         self._congested_at: dict[str, float] = {}
 
-    def record(self, heartbeat: GatewayBeat, received_at: float) -> None:
+    def record(self, heartbeat: GatewayHeartbeat, received_at: float) -> None:
         """Record a heartbeat; an older one of the same incarnation is ignored."""
         previous = self._latest.get(heartbeat.name)
         if previous is not None:
--- a/src/finchway/feed/_messages.py
+++ b/src/finchway/feed/_messages.py
@@ -16,7 +16,7 @@
     rate: float
 
 
-class GatewayBeat(Struct, frozen=True, kw_only=True):
+class GatewayHeartbeat(Struct, frozen=True, kw_only=True):
     """A gateway's heartbeat.
 
     `address` is for callers and `peer` for finchway's processes. `leaving` excludes it from the
@@ -48,7 +48,7 @@
     rate: float
 
 
-class HeardUpstream(Struct, frozen=True, array_like=True):
+class UpstreamHeartbeat(Struct, frozen=True, array_like=True):
     """An upstream's newest heartbeat and its age."""
 
     registration: Registration
@@ -92,7 +92,7 @@
     of upstreams' limits are known.
     """
 
-    beat: GatewayBeat
+    beat: GatewayHeartbeat
     revision: int
     life: str = ""
     order: int = 0
@@ -117,7 +117,7 @@
     image: SteeringImage
     age: float
     held: float = 0.0
-    upstreams: list[HeardUpstream] = []
+    upstreams: list[UpstreamHeartbeat] = []
     more: bool = False
     roster: Roster | None = None
     demand: list[RegionDemand] | None = None
@@ -130,7 +130,7 @@
     reports: list[RequestReport]
 
 
-class ShareHeard(Struct, frozen=True, kw_only=True, tag=True):
+class ShareHeartbeats(Struct, frozen=True, kw_only=True, tag="ShareHeard"):
     """Upstreams' heartbeats that a replica passes on to its peers."""
 
-    upstreams: list[HeardUpstream]
+    upstreams: list[UpstreamHeartbeat]
--- a/src/finchway/feed/_peer_gateways.py
+++ b/src/finchway/feed/_peer_gateways.py
@@ -7,7 +7,7 @@
 RETENTION_S = 3.0
 
 
-class Fellows:
+class PeerGateways:
     """The gateways that recently accepted callers, with their regions."""
 
     def __init__(self) -> None:
@@ -21,16 +21,18 @@
         """A counter that grows whenever the set of counted gateways changes."""
         return self._changes
 
-    def note(self, named: dict[str, str], now: float) -> None:
+    def update(self, regions_by_name: dict[str, str], now: float) -> None:
         """Set the gateways that are listed now, with their regions."""
-        if named == self._current:
+        if regions_by_name == self._current:
             return
         gone = {name: (region, now) for name, region in self._current.items()}
-        self._departed = {n: held for n, held in (self._departed | gone).items() if n not in named}
-        self._current = named
+        self._departed = {
+            n: held for n, held in (self._departed | gone).items() if n not in regions_by_name
+        }
+        self._current = regions_by_name
         self._rebuild()
 
-    def held(self, now: float) -> dict[str, str]:
+    def regions(self, now: float) -> dict[str, str]:
         """Return the regions of the counted gateways, by name."""
         over = [name for name, (_, since) in self._departed.items() if now - since > RETENTION_S]
         if over:
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -10,7 +10,7 @@
 
 from finchway._clock import WALL
 from finchway.catalog import Route, RouteType
-from finchway.feed import World
+from finchway.feed import ClusterView
 from finchway.gateway._connection import (
     Answer,
     AttemptError,
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        world: World,
+        view: ClusterView,
         table: UpstreamTable,
         router: Router,
         names: HeaderNames,
@@ -58,7 +58,7 @@
         suspects: SuspectDesk,
         apply_within: float,
     ) -> None:
-        self._world = world
+        self._view = view
         self._table = table
         self._router = router
         self._names = names
@@ -74,10 +74,10 @@
 
     async def serve(self, connection: CallerConnection, request: CallerRequest) -> None:
         """Forward one request of a caller and send the answer."""
-        if not self._world.is_ready:
+        if not self._view.is_ready:
             await self._refuse(connection, request, _retry_later(503), "no configuration yet")
             return
-        matched = self._world.steering.catalog.match(request.host, request.path)
+        matched = self._view.steering.catalog.match(request.host, request.path)
         if matched is None:
             await self._refuse_unrouted(connection, request)
             return
@@ -99,7 +99,7 @@
         A 404 is final for its caller, and a gateway that is cut off from control may lack a route
         that was accepted long ago.
         """
-        if self._world.knows_all_until(trio.current_time() - self._apply_within):
+        if self._view.knows_all_until(trio.current_time() - self._apply_within):
             await self._refuse(connection, request, Reply(404), "no route")
             return
         await self._refuse(
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from finchway.feed import World
+from finchway.feed import ClusterView
 from finchway.gateway._askings import MAX_LOGGED_CHARS
 from finchway.gateway._record import UpstreamRecord
 from finchway.observe import BeliefChanged, DecisionLog, LimitTotals
@@ -25,12 +25,12 @@
     def __init__(
         self,
         name: str,
-        world: World,
+        view: ClusterView,
         region_of: Callable[[str], str],
         decisions: DecisionLog,
     ) -> None:
         self._name = name
-        self._world = world
+        self._view = view
         self._region_of = region_of
         self._decisions = decisions
         self._named = LimitReports()
@@ -98,8 +98,8 @@
 
     def _part_of(self, life: str, limit: float, now: float) -> Part:
         """Return this gateway's share of a limit, cached until the set of gateways changes."""
-        peers = self._world.fellows
-        regions = peers.held(now)
+        peers = self._view.peer_gateways
+        regions = peers.regions(now)
         if peers.changes != self._parts_version or len(self._parts) >= MAX_LIMITS:
             self._parts_version = peers.changes
             self._parts = {}
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from finchway.feed import World
+from finchway.feed import ClusterView
 from finchway.gateway._http import CallerRequest
 from finchway.gateway._outcome import Outcome, Verdict
 from finchway.gateway._record import UpstreamRecord
@@ -25,9 +25,9 @@
     """The log lines and metrics of requests; each line includes the state it is based on."""
 
     def __init__(
-        self, world: World, decisions: DecisionLog, metrics: GatewayMetrics, lag: LoopLag
+        self, view: ClusterView, decisions: DecisionLog, metrics: GatewayMetrics, lag: LoopLag
     ) -> None:
-        self._world = world
+        self._view = view
         self._decisions = decisions
         self._metrics = metrics
         self._lag = lag
@@ -45,9 +45,9 @@
                 status=status,
                 reason=reason,
                 ms=_ms(now - request.arrived_at),
-                revision=self._world.steering.revision,
-                heard_ms=_ms(now - self._world.heard_at),
-                known_ms=_ms(now - self._world.covered_at),
+                revision=self._view.steering.revision,
+                heard_ms=_ms(now - self._view.heard_at),
+                known_ms=_ms(now - self._view.covered_at),
                 up_ms=_ms(now - self._started_at),
                 lag_ms=_ms(self._lag.worst_s),
             )
@@ -73,9 +73,9 @@
                 budget_ms=_ms(task.deadline - request.arrived_at),
                 back_ms=_ms(task.back_in) or None,
                 digest="" if 0 < status < 400 else task.digest,
-                revision=self._world.steering.revision,
-                heard_ms=_ms(now - self._world.heard_at),
-                known_ms=_ms(now - self._world.covered_at),
+                revision=self._view.steering.revision,
+                heard_ms=_ms(now - self._view.heard_at),
+                known_ms=_ms(now - self._view.covered_at),
             )
         )
 
--- a/src/finchway/gateway/_role.py
+++ b/src/finchway/gateway/_role.py
@@ -8,7 +8,7 @@
 import trio
 from msgspec import Struct
 
-from finchway.feed import Feed, GatewayBeat, Subscribe, World
+from finchway.feed import ClusterView, Feed, GatewayHeartbeat, Subscribe
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._feed_log import FeedLog
 from finchway.gateway._forward import Forwarder
@@ -54,14 +54,14 @@
         self._metrics = GatewayMetrics(settings.name)
         self._decisions = decisions
         self._lag = LoopLag()
-        self._world = World()
-        self._table = UpstreamTable(settings.name, zones, self._world, bounds, decisions)
-        router = Router(settings.zone, zones, self._world, self._table, bounds)
-        log = RequestLog(self._world, decisions, self._metrics, self._lag)
+        self._view = ClusterView()
+        self._table = UpstreamTable(settings.name, zones, self._view, bounds, decisions)
+        router = Router(settings.zone, zones, self._view, self._table, bounds)
+        log = RequestLog(self._view, decisions, self._metrics, self._lag)
         self._reports = ReportSender(link, lambda: self._session.reachable_replicas)
-        self._suspects = SuspectDesk(self._world, self._table, log, self._reports.put)
+        self._suspects = SuspectDesk(self._view, self._table, log, self._reports.put)
         self._forwarder = Forwarder(
-            self._world,
+            self._view,
             self._table,
             router,
             names,
@@ -69,7 +69,7 @@
             self._suspects,
             bounds.apply_within,
         )
-        heartbeat = GatewayBeat(
+        heartbeat = GatewayHeartbeat(
             name=settings.name,
             incarnation=uuid.uuid4().hex[:12],
             address=settings.address,
@@ -80,7 +80,7 @@
         self._session = GatewaySession(
             heartbeat,
             link,
-            self._world,
+            self._view,
             seeds,
             router.rates,
             FeedLog(decisions, self._metrics, self._lag),
@@ -92,34 +92,34 @@
         self._server = HttpServer(
             settings.address,
             self._forwarder.serve,
-            lambda: self._world.steering.catalog.limits,
+            lambda: self._view.steering.catalog.limits,
         )
 
     @property
-    def world(self) -> World:
+    def view(self) -> ClusterView:
         """The state that the gateway has received from replicas."""
-        return self._world
+        return self._view
 
     @property
     def is_ready(self) -> bool:
         """Whether the gateway accepts callers' requests."""
-        return self._world.is_ready and not self._session.is_leaving
+        return self._view.is_ready and not self._session.is_leaving
 
     def render_metrics(self) -> bytes:
         """Return the gateway's metrics in the Prometheus text format."""
         now = trio.current_time()
         state = GatewayState(
-            revision=self._world.steering.revision,
-            feed_age_s=round(now - self._world.heard_at, 3),
-            known_age_s=round(now - self._world.covered_at, 3),
+            revision=self._view.steering.revision,
+            feed_age_s=round(now - self._view.heard_at, 3),
+            known_age_s=round(now - self._view.covered_at, 3),
             loop_lag_s=round(self._lag.worst_s, 3),
             in_flight=self._forwarder.in_flight,
             connections=self._server.connections,
             upstream_connections_opened=self._table.opened,
             upstreams=self._table.states(),
-            gateways=len(self._world.serving),
+            gateways=len(self._view.serving),
             log_lines_dropped=self._decisions.writer.dropped,
-            suspects=len(self._world.steering.suspects),
+            suspects=len(self._view.steering.suspects),
             reports_waiting=self._reports.waiting,
             reports_dropped=self._reports.dropped,
             upstreams_resting=len(self._table.rests.backed_off(now)),
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -8,7 +8,7 @@
 import trio
 
 from finchway.catalog import Backend, Route
-from finchway.feed import ServiceRate, World
+from finchway.feed import ClusterView, ServiceRate
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._service import ServicePlan
@@ -37,13 +37,13 @@
         self,
         zone: str,
         zones: Callable[[], dict[str, str]],
-        world: World,
+        view: ClusterView,
         table: UpstreamTable,
         bounds: Bounds,
     ) -> None:
         self._zone = zone
         self._zones = zones
-        self._world = world
+        self._view = view
         self._table = table
         self._bounds = bounds
         self._plans: dict[str, ServicePlan] = {}
@@ -78,7 +78,7 @@
 
     def may_retry(self, service: str, now: float) -> bool:
         """Take one retry from this gateway's share of the budget; False if it is used up."""
-        return self._retry_budget(service).spend(now, self._world.serving_count(now))
+        return self._retry_budget(service).spend(now, self._view.serving_count(now))
 
     def note_answer(
         self, task: Task, choice: Choice, status: int, seconds: float, now: float
@@ -237,7 +237,7 @@
             reason,
             chosen.in_flight,
             now - record.reported_at,
-            now - self._world.heard_at,
+            now - self._view.heard_at,
             plan.local_share,
             rests.remaining_s(life, now),
             passed_over,
@@ -275,7 +275,7 @@
                 task.route.target_latency,
                 self._zones().get(self._zone, self._zone),
                 self._zones,
-                self._world,
+                self._view,
                 self._table,
                 self._bounds,
             )
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from finchway.feed import World
+from finchway.feed import ClusterView
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._estimates import ServiceEstimate
 from finchway.gateway._table import UpstreamTable
@@ -45,14 +45,14 @@
         target_latency: float,
         home: str,
         zones: Callable[[], dict[str, str]],
-        world: World,
+        view: ClusterView,
         table: UpstreamTable,
         bounds: Bounds,
     ) -> None:
         self._service = service
         self._home = home
         self._zones = zones
-        self._world = world
+        self._view = view
         self._table = table
         self._estimate = ServiceEstimate(target_latency)
         self._meter = RateMeter()
@@ -146,7 +146,7 @@
                 self._meter.rate(now),
                 region,
                 self._loads(now),
-                self._world.serving_count(now),
+                self._view.serving_count(now),
             )
         return share
 
@@ -197,7 +197,7 @@
     def _loads(self, now: float) -> dict[str, RegionLoad]:
         demand = {
             reported.region: reported.rate
-            for reported in self._world.demand
+            for reported in self._view.demand
             if reported.service == self._service
         }
         # Upstreams in backoff, or beyond their named limits, would refuse the requests.
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -12,7 +12,7 @@
 import trio
 
 from finchway.exceptions import FinchwayError, UnavailableError
-from finchway.feed import Feed, GatewayBeat, ServiceRate, Subscribe, World
+from finchway.feed import ClusterView, Feed, GatewayHeartbeat, ServiceRate, Subscribe
 from finchway.gateway._feed_log import FeedLog
 from finchway.gateway._poll import Poll, ReplicaCursor
 from finchway.gateway._transit import TransitMeter
@@ -47,9 +47,9 @@
 
     def __init__(
         self,
-        heartbeat: GatewayBeat,
+        heartbeat: GatewayHeartbeat,
         link: Link,
-        world: World,
+        view: ClusterView,
         seeds: Callable[[], list[str]],
         rates: Callable[[], list[ServiceRate]],
         log: FeedLog,
@@ -63,7 +63,7 @@
         self._apply_limits = apply_limits
         self._heartbeat = heartbeat
         self._link = link
-        self._world = world
+        self._view = view
         self._seeds = seeds
         self._rates = rates
         self._transits = TransitMeter()
@@ -118,7 +118,7 @@
             poll.end(succeeded=True)
 
     def _addresses(self) -> list[str]:
-        known = sorted(self._world.replicas.values())[:MAX_REPLICAS]
+        known = sorted(self._view.replicas.values())[:MAX_REPLICAS]
         if self._reachable & set(known):
             return known
         return sorted({*known, *self._seeds()})
@@ -173,7 +173,7 @@
         while True:
             silent_for = trio.current_time() - self._last_answer_at
             peers = [
-                a for n, a in sorted(self._world.peers.items()) if n != self._heartbeat.name and a
+                a for n, a in sorted(self._view.peers.items()) if n != self._heartbeat.name and a
             ]
             if silent_for < RELAY_AFTER_S or not peers:
                 await trio.sleep(RETRY_INTERVAL_S)
@@ -205,10 +205,10 @@
     ) -> Feed | None:
         request = Subscribe(
             beat=self._next_heartbeat(),
-            revision=self._world.steering.revision,
+            revision=self._view.steering.revision,
             life=cursor.life,
             order=cursor.order,
-            roster=self._world.roster_version(cursor.life),
+            roster=self._view.roster_version(cursor.life),
             demand=self._is_demand_due(),
             rest=cursor.rest,
             limits=cursor.limits,
@@ -244,15 +244,15 @@
     def _apply(self, feed: Feed, sent_at: float) -> None:
         if feed.limits is not None:
             self._apply_limits(feed.limits.reports)
-        before = self._world.steering.revision
-        if self._world.learn(feed, trio.current_time(), sent_at):
-            self._log.note_applied(feed, before, self._world.steering.revision)
+        before = self._view.steering.revision
+        if self._view.learn(feed, trio.current_time(), sent_at):
+            self._log.note_applied(feed, before, self._view.steering.revision)
             self._apply_suspects(feed.image.suspects)
 
-    def _next_heartbeat(self) -> GatewayBeat:
+    def _next_heartbeat(self) -> GatewayHeartbeat:
         self._sequence += 1
         base = self._heartbeat
-        return GatewayBeat(
+        return GatewayHeartbeat(
             name=base.name,
             incarnation=base.incarnation,
             address=base.address,
@@ -260,8 +260,8 @@
             region=base.region,
             peer=base.peer,
             leaving=self._leaving,
-            ready=self._world.is_ready,
-            revision=self._world.steering.revision,
+            ready=self._view.is_ready,
+            revision=self._view.steering.revision,
             sequence=self._sequence,
             rates=self._rates(),
             pressed=self._transits.is_congested(trio.current_time()),
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from finchway._clock import WALL
-from finchway.feed import World
+from finchway.feed import ClusterView
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._request_log import RequestLog
@@ -77,12 +77,12 @@
 
     def __init__(
         self,
-        world: World,
+        view: ClusterView,
         table: UpstreamTable,
         log: RequestLog,
         report: Callable[[RequestReport], None],
     ) -> None:
-        self._world = world
+        self._view = view
         self._table = table
         self._log = log
         self._report = report
@@ -254,7 +254,7 @@
 
     def _shared_suspect(self, task: Task) -> Suspect | None:
         """Return the replicas' current evidence against a request, if any."""
-        suspect = self._world.steering.suspects.get(task.fingerprint)
+        suspect = self._view.steering.suspects.get(task.fingerprint)
         return suspect if suspect is not None and suspect.is_current else None
 
     def _local_crashes(self, task: Task, now: float) -> int:
@@ -268,4 +268,4 @@
 
     def _has_no_suspects(self) -> bool:
         """Return whether no request is suspect, so that none needs a fingerprint."""
-        return not self._local_evidence and not self._world.steering.suspects
+        return not self._local_evidence and not self._view.steering.suspects
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -8,7 +8,7 @@
 import trio
 from msgspec import Struct
 
-from finchway.feed import World
+from finchway.feed import ClusterView
 from finchway.gateway._askings import PushbackTracker
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
@@ -80,14 +80,14 @@
         self,
         name: str,
         zones: Callable[[], dict[str, str]],
-        world: World,
+        view: ClusterView,
         bounds: Bounds,
         decisions: DecisionLog,
     ) -> None:
         self._decisions = decisions
         self._name = name
         self._zones = zones
-        self._world = world
+        self._view = view
         self._bounds = bounds
         self._records: dict[str, UpstreamRecord] = {}
         self._by_service: dict[str, dict[str, RegionUpstreams]] = {}
@@ -96,7 +96,7 @@
         self._refreshed_at = float("-inf")
         self._applied_changes = -1
         self._opened = 0
-        self._limits = LimitTracker(name, world, self._region_of, decisions)
+        self._limits = LimitTracker(name, view, self._region_of, decisions)
         self._pushback = PushbackTracker(decisions, self._limits.named)
 
     @property
@@ -134,7 +134,7 @@
 
     def regions(self, service: str, now: float) -> dict[str, RegionUpstreams]:
         """Return the upstreams of a service that may get new requests by region."""
-        changed = self._world.changes != self._applied_changes
+        changed = self._view.changes != self._applied_changes
         if changed or now - self._refreshed_at >= _REFRESH_INTERVAL_S:
             self.refresh(now)
         return self._by_service.get(service, {})
@@ -142,12 +142,12 @@
     def refresh(self, now: float) -> None:
         """Update the table from the received feeds."""
         self._refreshed_at = now
-        self._applied_changes = self._world.changes
-        self._world.forget_silent(now)
+        self._applied_changes = self._view.changes
+        self._view.forget_silent(now)
         self._names = {}
         by_service: dict[str, list[UpstreamRecord]] = {}
         seen = set()
-        for known in self._world.registry.all():
+        for known in self._view.registry.all():
             registration = known.registration
             seen.add(registration.instance)
             self._names[registration.life] = registration.instance
@@ -168,7 +168,7 @@
 
     def _by_region(self, records: list[UpstreamRecord]) -> dict[str, RegionUpstreams]:
         zones = self._zones()
-        evacuated = self._world.steering.evacuated
+        evacuated = self._view.steering.evacuated
         found: dict[str, dict[str, UpstreamRecord]] = {}
         for record in records:
             zone = record.registration.zone
@@ -319,7 +319,7 @@
             self._pushback.inherit(registration)
         record.registration = registration
         cold_until = heard_at + registration.cold_for if registration.cold_for > 0 else heard_at
-        ended_at = self._world.evacuation_changed_at(registration.zone)
+        ended_at = self._view.evacuation_changed_at(registration.zone)
         cold_until = max(cold_until, ended_at + self._cold_start(registration.service))
         record.cold_until = max(record.cold_until, cold_until)
         return record
@@ -331,7 +331,7 @@
         self._on_replaced(record)
 
     def _cold_start(self, service: str) -> float:
-        spec = self._world.steering.catalog.service(service)
+        spec = self._view.steering.catalog.service(service)
         return (spec.cold_start if spec else 0.0) + self._bounds.heartbeat
 
     def _state(self, registration: Registration) -> str:
@@ -339,10 +339,10 @@
             return registration.state.value
         if self._pushback.is_leaving(registration.life):
             return LEAVING
-        mark = self._world.steering.mark_of(registration)
+        mark = self._view.steering.mark_of(registration)
         if mark is not None:
             return mark.kind.value
-        if self._world.is_silent(registration.life):
+        if self._view.is_silent(registration.life):
             return SILENT
         return IN_USE
 
@@ -369,10 +369,10 @@
             record.pacer = None
             return True
         registration = record.registration
-        spec = self._world.steering.catalog.service(registration.service)
+        spec = self._view.steering.catalog.service(registration.service)
         if spec is None or spec.cold_rate <= 0:
             return True
-        names = self._world.serving
+        names = self._view.serving
         if not names or rank(registration.instance, names)[0] != self._name:
             return False
         if record.pacer is None:
--- a/tests/adapter/test_words_of_other_writers.py
+++ b/tests/adapter/test_words_of_other_writers.py
@@ -16,7 +16,7 @@
 from platform_documents import born_from_deregistration, items_from_patch, registration_from_beat
 
 from finchway.exceptions import ResourceError
-from finchway.feed import HeardUpstream
+from finchway.feed import UpstreamHeartbeat
 from finchway.registry import check_registration
 from tests.adapter import documents
 
@@ -88,7 +88,7 @@
     except ResourceError:
         return
     if not check_registration(registration):
-        msgspec.msgpack.encode(HeardUpstream(registration, 0.0))
+        msgspec.msgpack.encode(UpstreamHeartbeat(registration, 0.0))
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -10,7 +10,7 @@
 
 from bench.raw import answer, header_of, read_message
 from finchway.catalog import Backend, Item, ItemKind, Limits, Route, RouteType, ServiceSpec
-from finchway.feed import Feed, GatewayPeer, HeardUpstream, Roster, World
+from finchway.feed import ClusterView, Feed, GatewayPeer, Roster, UpstreamHeartbeat
 from finchway.gateway import (
     Bounds,
     Forwarder,
@@ -160,17 +160,17 @@
     def __init__(self, nursery: trio.Nursery, bounds: Bounds, name: str = "g1") -> None:
         self.nursery = nursery
         self.name = name
-        self.world = World()
+        self.view = ClusterView()
         self.writer = LogWriter()
         self.decisions = DecisionLog(name, self.writer)
-        self.table = UpstreamTable(name, lambda: ZONES, self.world, bounds, self.decisions)
-        router = Router("north-a", lambda: ZONES, self.world, self.table, bounds)
+        self.table = UpstreamTable(name, lambda: ZONES, self.view, bounds, self.decisions)
+        router = Router("north-a", lambda: ZONES, self.view, self.table, bounds)
         self.metrics = GatewayMetrics(name)
-        log = RequestLog(self.world, self.decisions, self.metrics, LoopLag())
+        log = RequestLog(self.view, self.decisions, self.metrics, LoopLag())
         self.reports: list[RequestReport] = []
-        self.suspects = SuspectDesk(self.world, self.table, log, self.reports.append)
+        self.suspects = SuspectDesk(self.view, self.table, log, self.reports.append)
         self.forwarder = Forwarder(
-            self.world, self.table, router, NAMES, log, self.suspects, bounds.apply_within
+            self.view, self.table, router, NAMES, log, self.suspects, bounds.apply_within
         )
         self.steering = Steering()
         self.roster_version = 0
@@ -183,9 +183,9 @@
             await probe.bind(("127.0.0.1", 0))
             self.address = probe.getsockname()
         address = f"{self.address[0]}:{self.address[1]}"
-        catalog = self.world.steering.catalog
+        catalog = self.view.steering.catalog
         self.server = HttpServer(
-            address, self.forwarder.serve, lambda: self.world.steering.catalog.limits
+            address, self.forwarder.serve, lambda: self.view.steering.catalog.limits
         )
         assert catalog.is_empty
         self.nursery.start_soon(self.suspects.run)
@@ -200,11 +200,11 @@
             roster=Roster(
                 version=self.roster_version, serving=[GatewayPeer(name, "") for name in gateways]
             ),
-            upstreams=[HeardUpstream(registration, 0.0) for registration in upstreams],
+            upstreams=[UpstreamHeartbeat(registration, 0.0) for registration in upstreams],
             age=0.0,
             **fields,
         )
-        self.world.learn(feed, trio.current_time())
+        self.view.learn(feed, trio.current_time())
         if feed.limits is not None:
             self.table.limits.learn(feed.limits.reports)
         self.table.refresh(trio.current_time())
--- a/tests/gateway/test_backoff.py
+++ b/tests/gateway/test_backoff.py
@@ -95,7 +95,7 @@
             nursery.start_soon(Calls(subject).run_for, RETRY_AFTER_S - 0.1)
             await trio.sleep(1.2)
             # The registration is lost and returns with the same incarnation.
-            subject.world.registry.remove(upstream.instance)
+            subject.view.registry.remove(upstream.instance)
             subject.apply_feed()
             await trio.sleep(0.25)
             subject.apply_feed([upstream.registration(sequence=2)])
@@ -256,7 +256,7 @@
             await calls.call()
         assert calls.statuses == [200, 503, 503, 503, 503]
         # The announcement survives a temporary loss of the registration.
-        subject.world.registry.remove(leaving.instance)
+        subject.view.registry.remove(leaving.instance)
         subject.apply_feed()
         subject.apply_feed([leaving.registration(sequence=7)])
         await calls.call()
--- a/tests/gateway/test_congested_links.py
+++ b/tests/gateway/test_congested_links.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 
-from finchway.feed import World, choose_gateways
+from finchway.feed import ClusterView, choose_gateways
 from finchway.feed._gateway_table import CONGESTION_HOLD_S
 from finchway.gateway import FeedLog, GatewaySession
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
@@ -35,7 +35,7 @@
             session = GatewaySession(
                 gateway_heartbeat(name, zone=zone, ready=False),
                 self.links[zone],
-                World(),
+                ClusterView(),
                 lambda: REPLICAS,
                 list,
                 FeedLog(DecisionLog(name, LogWriter()), GatewayMetrics(name), LoopLag()),
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -105,7 +105,7 @@
 @on_trio
 async def test_missing_configuration_is_503():
     async with gateway() as subject:
-        subject.world.__init__()
+        subject.view.__init__()
         status, head, _ = await (await subject.connect()).request()
         assert status == 503
         assert float(header_of(head, b"retry-after")) > 0
--- a/tests/gateway/test_named_limit.py
+++ b/tests/gateway/test_named_limit.py
@@ -214,7 +214,7 @@
     upstream = LimitedUpstream(1.0)
     async with gateway(upstream) as subject:
         await Calls(subject).run_for(1.0)
-        subject.world.registry.remove(upstream.instance)
+        subject.view.registry.remove(upstream.instance)
         subject.apply_feed()
         subject.apply_feed([upstream.registration(sequence=2)])
         start = trio.current_time()
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from finchway.catalog import Backend, Item, ItemKind, Limits, Route, RouteType, ServiceSpec
-from finchway.feed import Feed, GatewayPeer, HeardUpstream, RegionDemand, Roster, World
+from finchway.feed import ClusterView, Feed, GatewayPeer, RegionDemand, Roster, UpstreamHeartbeat
 from finchway.gateway import (
     Bounds,
     CallerRequest,
@@ -55,14 +55,14 @@
             Item(kind=ItemKind.LIMITS, name="limits", version=1, spec=Limits()),
         ]
         steering.change_items(ChangeItems(now_ms=0, items=items))
-        self.world = World()
-        self.world.learn(
+        self.view = ClusterView()
+        self.view.learn(
             Feed(
                 life="l",
                 order=1,
                 image=steering.image(),
                 age=0.0,
-                upstreams=[HeardUpstream(registration, 0.0) for registration in upstreams],
+                upstreams=[UpstreamHeartbeat(registration, 0.0) for registration in upstreams],
                 roster=Roster(version=1, serving=[GatewayPeer(name, "") for name in gateways]),
                 demand=[RegionDemand(region, "s", rate) for region, rate in (demand or {}).items()],
             ),
@@ -70,8 +70,8 @@
         )
         self.writer = LogWriter()
         log = DecisionLog("g1", self.writer)
-        self.table = UpstreamTable("g1", lambda: zones, self.world, Bounds(), log)
-        self.router = Router("north-a", lambda: zones, self.world, self.table, Bounds())
+        self.table = UpstreamTable("g1", lambda: zones, self.view, Bounds(), log)
+        self.router = Router("north-a", lambda: zones, self.view, self.table, Bounds())
 
     def lines(self, event):
         """Return the log lines of one event that were written since the last call."""
@@ -147,7 +147,7 @@
     subject = RouterUnderTest([registration("n", "north-a", slots=1), registration("s", "south-a")])
     demand = [RegionDemand("north", "s", 0.1), RegionDemand("south", "s", 0.1)]
     feed = Feed(life="l", order=1, image=SteeringImage(), age=0.0, demand=demand)
-    subject.world.learn(feed, trio.current_time())
+    subject.view.learn(feed, trio.current_time())
     assert await remote_fraction_after(subject, 60.0) == 0.0
     held = subject.table.get("n")
     held.in_flight = 2
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -8,7 +8,7 @@
 import trio.testing
 
 from finchway.exceptions import TransportError, UnavailableError
-from finchway.feed import Feed, GatewayBeat, GatewayPeer, Roster, Subscribe, World
+from finchway.feed import ClusterView, Feed, GatewayHeartbeat, GatewayPeer, Roster, Subscribe
 from finchway.gateway import FeedLog, GatewaySession
 from finchway.observe import DecisionLog, GatewayMetrics, GatewayState, LogWriter, LoopLag
 from finchway.state import SteeringImage
@@ -44,27 +44,27 @@
         )
 
 
-def world_with(*names):
-    """Return a world with the given peer gateways, each at its name and port 9."""
-    world = World()
+def view_with(*names):
+    """Return a view with the given peer gateways, each at its name and port 9."""
+    view = ClusterView()
     roster = Roster(version=1, serving=peers(*names))
-    world.learn(
+    view.learn(
         Feed(life="k", order=0, image=SteeringImage(), age=0.0, roster=roster), float("-inf")
     )
-    return world
+    return view
 
 
-def new_session(beat, link, world):
+def new_session(heartbeat, link, view):
     log = FeedLog(DecisionLog("g", LogWriter()), GatewayMetrics("g"), LoopLag())
-    return GatewaySession(beat, link, world, lambda: REPLICAS, list, log)
+    return GatewaySession(heartbeat, link, view, lambda: REPLICAS, list, log)
 
 
-def run_session(link, leave_at=None, world=None):
+def run_session(link, leave_at=None, view=None):
     """Run a session on virtual time; returns the polls with their time since the start."""
 
     async def run():
-        beat = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
-        session = new_session(beat, link, world or World())
+        heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
+        session = new_session(heartbeat, link, view or ClusterView())
         started = trio.current_time()
         with trio.move_on_after(RUN_S):
             async with trio.open_nursery() as nursery:
@@ -109,10 +109,10 @@
 
 def test_repoll_reaches_all_replicas_at_once_and_is_rate_limited():
     async def run():
-        beat = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
+        heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
         link = ScriptedLink(set())
         link.delay_s = 0.6
-        session = new_session(beat, link, World())
+        session = new_session(heartbeat, link, ClusterView())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(session.run)
             await trio.sleep(1.0)
@@ -129,7 +129,7 @@
 
 
 def test_gateway_polls_through_a_peer_when_no_replica_answers():
-    polls = run_session(ScriptedLink(set(REPLICAS), ("g", "h")), world=world_with("g", "h"))
+    polls = run_session(ScriptedLink(set(REPLICAS), ("g", "h")), view=view_with("g", "h"))
     relayed = [at for at, address, _ in polls if address == "h:9"]
     assert 1.0 <= relayed[0] < 1.3
     assert len(relayed) > 5
@@ -138,7 +138,7 @@
 
 def test_next_peer_is_used_when_a_peer_does_not_answer():
     polls = run_session(
-        ScriptedLink({*REPLICAS, "h:9"}, ("g", "h", "i")), world=world_with("g", "h", "i")
+        ScriptedLink({*REPLICAS, "h:9"}, ("g", "h", "i")), view=view_with("g", "h", "i")
     )
     addresses = [address for _, address, _ in polls if address in ("h:9", "i:9")]
     assert addresses[:2] == ["h:9", "i:9"]
@@ -146,7 +146,7 @@
 
 
 def test_peers_are_not_polled_while_a_replica_answers():
-    polls = run_session(ScriptedLink({"a:1", "b:1"}), world=world_with("g", "h"))
+    polls = run_session(ScriptedLink({"a:1", "b:1"}), view=view_with("g", "h"))
     assert {address for _, address, _ in polls} == set(REPLICAS)
 
 
@@ -154,9 +154,9 @@
     link = ScriptedLink({"a:1"})
 
     async def run():
-        beat = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
-        session = new_session(beat, link, World())
-        poll = Subscribe(beat=beat, revision=0)
+        heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
+        session = new_session(heartbeat, link, ClusterView())
+        poll = Subscribe(beat=heartbeat, revision=0)
         with pytest.raises(UnavailableError):
             await session.relay(poll)
         async with trio.open_nursery() as nursery:
@@ -179,11 +179,11 @@
 
     async def run():
         writer, metrics = LogWriter(), GatewayMetrics("g")
-        beat = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
+        heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
         session = GatewaySession(
-            beat,
+            heartbeat,
             UnevenLink({"c:1"}),
-            World(),
+            ClusterView(),
             lambda: REPLICAS,
             list,
             FeedLog(DecisionLog("g", writer), metrics, LoopLag()),
--- a/tests/gateway/test_stale_configuration.py
+++ b/tests/gateway/test_stale_configuration.py
@@ -17,7 +17,7 @@
 from finchway.control import ControlServer, ReplicaRunner, found_cluster
 from finchway.control._feed import FeedServer
 from finchway.exceptions import TransportError
-from finchway.feed import Feed, GatewayBeat, Subscribe, World
+from finchway.feed import ClusterView, Feed, GatewayHeartbeat, Subscribe
 from finchway.gateway import FeedLog, GatewaySession
 from finchway.membership import LeaseTiming
 from finchway.observe import DecisionLog, GatewayMetrics, LogicalClock, LogWriter, LoopLag, Timeline
@@ -32,7 +32,7 @@
 # Maximum time from a confirmed change until every gateway applies it.
 MAX_APPLY_DELAY_S = 2.5
 TEST_TIMEOUT_S = 10.0
-BEAT = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
+BEAT = GatewayHeartbeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
 
 
 def route_change(version: int, *names: str) -> ChangeItems:
@@ -113,11 +113,11 @@
         link = SlowLink(runners, delay=0.01)
         for runner in runners.values():
             runner.change(route_change(1, "old"))
-        world = World()
+        view = ClusterView()
         session = GatewaySession(
             BEAT,
             link,
-            world,
+            view,
             lambda: REPLICAS,
             list,
             FeedLog(DecisionLog("g", LogWriter()), GatewayMetrics("g"), LoopLag()),
@@ -125,13 +125,13 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(session.run)
             await trio.sleep(2.0)
-            assert world.steering.catalog.match("a.example", "/old/1") is not None
+            assert view.steering.catalog.match("a.example", "/old/1") is not None
             link.delay = 0.6
             await trio.sleep(2.0)
             for runner in runners.values():
                 runner.change(route_change(18, "old", "new"))
             await trio.sleep(MAX_APPLY_DELAY_S)
-            assert world.steering.catalog.match("a.example", "/new/1") is not None
+            assert view.steering.catalog.match("a.example", "/new/1") is not None
             nursery.cancel_scope.cancel()
 
     trio.run(check, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -237,11 +237,11 @@
                 while not link.replies or link.replies[-1].success:
                     await trio.sleep(0.01)
                 await trio.sleep(0.5)
-                world = World()
+                view = ClusterView()
                 answer = await control.handle(Subscribe(beat=BEAT, revision=0), "g")
-                world.learn(answer, trio.current_time())
-                assert world.steering.catalog.match("a.example", "/old/1") is not None
-                assert not world.is_ready
+                view.learn(answer, trio.current_time())
+                assert view.steering.catalog.match("a.example", "/old/1") is not None
+                assert not view.is_ready
                 nursery.cancel_scope.cancel()
 
     trio.run(check)
@@ -259,12 +259,12 @@
             control.runner.receive(first, "leader:1")
             await control.runner.wait_steering(0)
             await wait_until_covered(control)
-            world = World()
+            view = ClusterView()
             asked_at = trio.current_time()
             answer = await control.handle(Subscribe(beat=BEAT, revision=0), "g")
-            world.learn(answer, trio.current_time(), asked_at)
-            assert world.is_ready is ready
-            assert age <= asked_at - world.covered_at <= age + 0.5
+            view.learn(answer, trio.current_time(), asked_at)
+            assert view.is_ready is ready
+            assert age <= asked_at - view.covered_at <= age + 0.5
 
     trio.run(check)
 
@@ -319,9 +319,9 @@
 
 
 def test_transit_time_adds_to_the_age_of_an_answer():
-    world = World()
+    view = ClusterView()
     answer = Feed(life="l", order=0, image=SteeringImage(), age=0.2, held=0.6)
-    world.learn(answer, now=13.0, asked_at=10.0)
-    assert world.covered_at == pytest.approx(10.0 + 0.6 - 0.2)
-    world.learn(answer, now=13.1, asked_at=9.0)
-    assert world.covered_at == pytest.approx(10.4)
+    view.learn(answer, now=13.0, asked_at=10.0)
+    assert view.covered_at == pytest.approx(10.0 + 0.6 - 0.2)
+    view.learn(answer, now=13.1, asked_at=9.0)
+    assert view.covered_at == pytest.approx(10.4)
--- a/tests/gateway/test_startup_feed.py
+++ b/tests/gateway/test_startup_feed.py
@@ -10,7 +10,7 @@
 
 from finchway.control._feed import FeedServer
 from finchway.exceptions import TransportError
-from finchway.feed import GatewayBeat, World
+from finchway.feed import ClusterView, GatewayHeartbeat
 from finchway.gateway import FeedLog, GatewaySession
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
 from finchway.registry import Registration, UpstreamState
@@ -19,7 +19,7 @@
 REPLICAS = ["a:1", "b:1", "c:1", "d:1", "e:1"]
 LINK_BYTES_PER_S = 331_000
 ROUND_TRIP_S = 0.07
-BEAT = GatewayBeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
+BEAT = GatewayHeartbeat(name="g", incarnation="1", address="g:1", zone="z", region="r")
 
 
 def registration(number: int) -> Registration:
@@ -66,11 +66,11 @@
                 feed.registry.record(registration(number), trio.current_time())
         self.change(route_change(1, "old"))
         self.link = NarrowLink(feeds)
-        self.world = World()
+        self.view = ClusterView()
         self.session = GatewaySession(
             BEAT,
             self.link,
-            self.world,
+            self.view,
             lambda: REPLICAS,
             list,
             FeedLog(DecisionLog("g", LogWriter()), GatewayMetrics("g"), LoopLag()),
@@ -84,7 +84,7 @@
         """Return the seconds until a condition holds, 30 at most."""
         started = trio.current_time()
         with trio.move_on_after(30.0):
-            while not condition(self.world):
+            while not condition(self.view):
                 await trio.sleep(0.01)
         return trio.current_time() - started
 
@@ -108,7 +108,7 @@
         await trio.sleep(0.3)
         gateway.change(route_change(18, "old", "new"))
         elapsed = await gateway.wait_for(
-            lambda world: world.steering.catalog.match("a.example", "/new/")
+            lambda view: view.steering.catalog.match("a.example", "/new/")
         )
         assert elapsed <= MAX_APPLY_DELAY_S
 
@@ -117,8 +117,8 @@
 
 def test_gateway_is_ready_only_once_it_knows_all_upstreams():
     async def script(gateway):
-        elapsed = await gateway.wait_for(lambda world: world.is_ready)
-        assert len(gateway.world.registry) == 1_000
+        elapsed = await gateway.wait_for(lambda view: view.is_ready)
+        assert len(gateway.view.registry) == 1_000
         assert elapsed < 2.0
 
     run_script(1_000, script)
--- a/tests/gateway/test_suspect_requests.py
+++ b/tests/gateway/test_suspect_requests.py
@@ -183,7 +183,7 @@
 def apply_reports(subject, *reports) -> None:
     """Apply reports of other gateways."""
     subject.steering.report_requests(ReportRequests(now_ms=0, reports=list(reports)), 0)
-    image = subject.steering.image(subject.world.steering.revision)
+    image = subject.steering.image(subject.view.steering.revision)
     subject.apply_feed()
     subject.suspects.update(image.suspects)
 
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -15,7 +15,7 @@
 )
 from finchway.control._feed import FeedServer
 from finchway.entry import ControlSession, EntryIdentity, EntryView
-from finchway.feed import Feed, GatewayBeat, Subscribe, World
+from finchway.feed import ClusterView, Feed, GatewayHeartbeat, Subscribe
 from finchway.membership import HeartbeatReply, LeaseTiming
 from finchway.observe import LogicalClock, Timeline
 from finchway.policy import Holder, Loan, LoanTiming
@@ -55,12 +55,12 @@
 
 def test_ages_count_a_suspension():
     async def check(machine):
-        world = World()
+        view = ClusterView()
         feed = Feed(life="l", order=0, image=SteeringImage(), age=0.0)
-        world.learn(feed, trio.current_time(), trio.current_time())
-        assert world.knows_all_until(trio.current_time() - 2.5)
+        view.learn(feed, trio.current_time(), trio.current_time())
+        assert view.knows_all_until(trio.current_time() - 2.5)
         machine.suspended += 5.0
-        assert not world.knows_all_until(trio.current_time() - 2.5)
+        assert not view.knows_all_until(trio.current_time() - 2.5)
 
     play(check)
 
@@ -86,9 +86,9 @@
         runner = IdleRunner()
         runner.covered_at = trio.current_time()
         desk = FeedServer(runner, None, 1.5)
-        beat = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r")
+        heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="", zone="z", region="r")
         machine.suspended += 5.0
-        return (await desk.answer(Subscribe(beat=beat, revision=0))).age
+        return (await desk.answer(Subscribe(beat=heartbeat, revision=0))).age
 
     assert play(check) >= 5.0
 
@@ -96,8 +96,10 @@
 def test_a_gateway_that_wakes_is_not_named_until_it_is_heard_again():
     async def check(machine):
         desk = FeedServer(IdleRunner(), None, 1.5)
-        beat = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r", ready=True)
-        await desk.answer(Subscribe(beat=beat, revision=0))
+        heartbeat = GatewayHeartbeat(
+            name="g", incarnation="1", address="", zone="z", region="r", ready=True
+        )
+        await desk.answer(Subscribe(beat=heartbeat, revision=0))
         assert len(desk.gateways.serving(trio.current_time())) == 1
         machine.suspended += 5.0
         assert desk.gateways.serving(trio.current_time()) == []
--- a/tests/unit/test_feed_server.py
+++ b/tests/unit/test_feed_server.py
@@ -6,7 +6,7 @@
 import trio.testing
 
 from finchway.control._feed import LONG_POLL_S, LONG_POLL_UNREADY_S, FeedServer
-from finchway.feed import GatewayBeat, Subscribe
+from finchway.feed import GatewayHeartbeat, Subscribe
 from finchway.pushback import LimitLogPosition, LimitReport
 from finchway.replication import Members
 from finchway.state import Steering
@@ -41,12 +41,14 @@
 def test_a_gateway_that_is_not_ready_is_held_more_briefly(ready, held):
     async def check():
         server = FeedServer(IdleRunner(), None, 1.5)
-        beat = GatewayBeat(
+        heartbeat = GatewayHeartbeat(
             name="g1", incarnation="1", address="", zone="north-a", region="north", ready=ready
         )
-        first = await server.answer(Subscribe(beat=beat, revision=0))
+        first = await server.answer(Subscribe(beat=heartbeat, revision=0))
         sent_at = trio.current_time()
-        await server.answer(Subscribe(beat=beat, revision=0, life=first.life, order=first.order))
+        await server.answer(
+            Subscribe(beat=heartbeat, revision=0, life=first.life, order=first.order)
+        )
         return trio.current_time() - sent_at
 
     clock = trio.testing.MockClock(autojump_threshold=0)
@@ -59,7 +61,7 @@
     async def check():
         server = FeedServer(IdleRunner(), None, 1.5)
         limited, other = (
-            GatewayBeat(name=n, incarnation="1", address="", zone="z", region="r", ready=True)
+            GatewayHeartbeat(name=n, incarnation="1", address="", zone="z", region="r", ready=True)
             for n in ("g1", "g2")
         )
         first = await server.answer(Subscribe(beat=other, revision=0))
@@ -75,8 +77,8 @@
                     answered.append((trio.current_time(), [w.rate for w in answer.limits.reports]))
 
         async def report_limit(rate):
-            beat = msgspec.structs.replace(limited, limits=[LimitReport("i-1", rate, 0.0)])
-            poll = Subscribe(beat=beat, revision=0, life=first.life)
+            heartbeat = msgspec.structs.replace(limited, limits=[LimitReport("i-1", rate, 0.0)])
+            poll = Subscribe(beat=heartbeat, revision=0, life=first.life)
             with trio.move_on_after(0.01):
                 await server.answer(poll)
 
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from finchway.feed import Feed, HeardUpstream, Roster, World
+from finchway.feed import ClusterView, Feed, Roster, UpstreamHeartbeat
 from finchway.gateway import Bounds, UpstreamTable
 from finchway.observe import DecisionLog, LogWriter
 from finchway.registry import AddressOwners, MarkKind, Registration, Registry
@@ -50,16 +50,16 @@
 
 
 def test_a_mark_applies_only_to_the_marked_incarnation():
-    world = World()
-    table = UpstreamTable("g", lambda: {"z": "r"}, world, Bounds(), DecisionLog("g", LogWriter()))
+    view = ClusterView()
+    table = UpstreamTable("g", lambda: {"z": "r"}, view, Bounds(), DecisionLog("g", LogWriter()))
     steering = Steering()
     command = {"now_ms": 0, "instance": "i", "kind": "gone", "born": FIRST}
     steering.mark_upstream(msgspec.convert(command, MarkUpstream))
     states = []
     for order, born in enumerate((FIRST, SECOND)):
-        upstreams = [HeardUpstream(heartbeat(50 + order, born), 0.0)]
+        upstreams = [UpstreamHeartbeat(heartbeat(50 + order, born), 0.0)]
         feed = Feed(life="k", order=order, image=steering.image(), age=0.0, upstreams=upstreams)
-        world.learn(feed, float(order))
+        view.learn(feed, float(order))
         table.refresh(float(order))
         states.append(table.states())
     assert states == [{"gone": 1}, {"in use": 1}]
@@ -133,15 +133,15 @@
 
 
 def test_a_gateway_keeps_no_state_of_the_first_incarnation():
-    world = World()
-    table = UpstreamTable("g", lambda: {"z": "r"}, world, Bounds(), DecisionLog("g", LogWriter()))
+    view = ClusterView()
+    table = UpstreamTable("g", lambda: {"z": "r"}, view, Bounds(), DecisionLog("g", LogWriter()))
     ended = []
     table.watch_replaced(ended.append)
     records = []
     for order, born in enumerate((FIRST, SECOND)):
-        upstreams = [HeardUpstream(heartbeat(1, born), 0.0)]
+        upstreams = [UpstreamHeartbeat(heartbeat(1, born), 0.0)]
         feed = Feed(life="k", order=order, image=SteeringImage(), age=0.0, upstreams=upstreams)
-        world.learn(feed, float(order))
+        view.learn(feed, float(order))
         table.refresh(float(order))
         record = table.get("i")
         record.note_warm_key("k", float(order))
@@ -155,14 +155,14 @@
 
 
 def test_a_silent_first_incarnation_does_not_make_the_second_silent():
-    world = World()
+    view = ClusterView()
     roster = Roster(version=1, silent=[heartbeat(1, FIRST).life])
-    upstreams = [HeardUpstream(heartbeat(1, SECOND), 0.0)]
+    upstreams = [UpstreamHeartbeat(heartbeat(1, SECOND), 0.0)]
     feed = Feed(
         life="k", order=1, image=SteeringImage(), age=0.0, upstreams=upstreams, roster=roster
     )
-    world.learn(feed, 1.0)
-    assert world.is_silent(heartbeat(1, FIRST).life)
-    assert not world.is_silent(heartbeat(1, SECOND).life)
-    world.forget_silent(100.0)
-    assert world.registry.get("i") is not None
+    view.learn(feed, 1.0)
+    assert view.is_silent(heartbeat(1, FIRST).life)
+    assert not view.is_silent(heartbeat(1, SECOND).life)
+    view.forget_silent(100.0)
+    assert view.registry.get("i") is not None
--- a/tests/unit/test_late_heartbeat.py
+++ b/tests/unit/test_late_heartbeat.py
@@ -9,13 +9,13 @@
 import trio.testing
 
 from finchway.control._feed import FeedServer
-from finchway.feed import GatewayBeat, HeardUpstream, ShareHeard, Subscribe
+from finchway.feed import GatewayHeartbeat, ShareHeartbeats, Subscribe, UpstreamHeartbeat
 from tests.unit.test_feed_server import IdleRunner
 from tests.unit.test_registry import registration
 
 HEARTBEAT_S = 1.5
 SILENT_AFTER_S = 2.5 * HEARTBEAT_S
-BEAT = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r")
+BEAT = GatewayHeartbeat(name="g", incarnation="1", address="", zone="z", region="r")
 
 
 class Replica:
@@ -74,8 +74,8 @@
 def test_a_late_heartbeat_shared_by_a_peer_does_not_revive_a_replaced_upstream():
     async def script(replica):
         await replica.receive("new")
-        late = HeardUpstream(registration("old", address="10.0.0.1:80"), age=2.0)
-        replica.server.record_shared_heartbeats(ShareHeard(upstreams=[late]))
+        late = UpstreamHeartbeat(registration("old", address="10.0.0.1:80"), age=2.0)
+        replica.server.record_shared_heartbeats(ShareHeartbeats(upstreams=[late]))
         await trio.sleep(0.2)
         assert await replica.live() == {"new"}
 
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from finchway.feed import Fellows
+from finchway.feed import PeerGateways
 from finchway.policy import part_of_limit
 from finchway.pushback import (
     MAX_LIMITS,
@@ -174,12 +174,12 @@
 
 
 def test_a_removed_gateway_counts_as_a_peer_for_a_grace_period():
-    fellows = Fellows()
-    fellows.note({"g1": "north", "g2": "south"}, 0.0)
-    fellows.note({"g1": "north"}, 10.0)
-    assert fellows.held(12.0) == {"g1": "north", "g2": "south"}
-    before = fellows.changes
-    assert fellows.held(13.5) == {"g1": "north"}
-    assert fellows.changes > before
-    fellows.note({"g1": "north", "g2": "west"}, 14.0)
-    assert fellows.held(14.0)["g2"] == "west"
+    gateways = PeerGateways()
+    gateways.update({"g1": "north", "g2": "south"}, 0.0)
+    gateways.update({"g1": "north"}, 10.0)
+    assert gateways.regions(12.0) == {"g1": "north", "g2": "south"}
+    before = gateways.changes
+    assert gateways.regions(13.5) == {"g1": "north"}
+    assert gateways.changes > before
+    gateways.update({"g1": "north", "g2": "west"}, 14.0)
+    assert gateways.regions(14.0)["g2"] == "west"
--- a/tests/unit/test_registry.py
+++ b/tests/unit/test_registry.py
@@ -3,16 +3,16 @@
 from math import inf
 
 from finchway.feed import (
+    ClusterView,
     Feed,
-    GatewayBeat,
+    GatewayHeartbeat,
     GatewayPeer,
     GatewayTable,
-    HeardUpstream,
     RegionDemand,
     ReplicaAddress,
     Roster,
     ServiceRate,
-    World,
+    UpstreamHeartbeat,
     choose_gateways,
 )
 from finchway.feed._gateway_table import CONGESTION_HOLD_S
@@ -43,7 +43,7 @@
         "region": "north",
         "ready": True,
     } | fields
-    return GatewayBeat(**values)
+    return GatewayHeartbeat(**values)
 
 
 def feed(**fields):
@@ -186,13 +186,13 @@
 def test_the_view_accounts_for_ages_and_never_goes_back():
     steering = Steering()
     steering.change_items(change(service(), route()))
-    world = World()
-    assert not world.is_ready
-    assert world.learn(feed(image=steering.image()), 10.0)
-    assert not world.learn(feed(), 11.0)
-    assert world.is_ready
-    world.learn(feed(upstreams=[HeardUpstream(registration(), 2.0)]), 12.0)
-    assert world.registry.get("i").heard_at == 10.0
+    view = ClusterView()
+    assert not view.is_ready
+    assert view.learn(feed(image=steering.image()), 10.0)
+    assert not view.learn(feed(), 11.0)
+    assert view.is_ready
+    view.learn(feed(upstreams=[UpstreamHeartbeat(registration(), 2.0)]), 12.0)
+    assert view.registry.get("i").heard_at == 10.0
 
 
 def peers(*names):
@@ -204,88 +204,88 @@
 
 
 def test_gateways_are_those_that_any_fresh_replica_lists():
-    world = World()
-    world.learn(feed(life="k", roster=roster(serving=peers("a", "b"))), 1.0)
-    world.learn(feed(life="l", roster=roster(serving=peers("b", "c"))), 1.5)
-    assert world.serving == ("a", "b", "c")
-    assert world.peers == {"a": "a:9", "b": "b:9", "c": "c:9"}
-    assert (world.roster_version("k"), world.roster_version("m")) == (1, 0)
-    world.learn(feed(life="l"), 3.5)
-    assert world.serving == ("b", "c")
-    assert world.roster_version("k") == 0
+    view = ClusterView()
+    view.learn(feed(life="k", roster=roster(serving=peers("a", "b"))), 1.0)
+    view.learn(feed(life="l", roster=roster(serving=peers("b", "c"))), 1.5)
+    assert view.serving == ("a", "b", "c")
+    assert view.peers == {"a": "a:9", "b": "b:9", "c": "c:9"}
+    assert (view.roster_version("k"), view.roster_version("m")) == (1, 0)
+    view.learn(feed(life="l"), 3.5)
+    assert view.serving == ("b", "c")
+    assert view.roster_version("k") == 0
 
 
 def test_the_last_reports_stay_in_use_when_control_is_lost():
-    world = World()
+    view = ClusterView()
     demand = [RegionDemand("north", "s", 5.0)]
-    world.learn(feed(roster=roster(serving=peers("a", "b")), demand=demand), 1.0)
-    assert (world.serving, world.demand) == (("a", "b"), demand)
-    assert world.serving_count(500.0) == 2
+    view.learn(feed(roster=roster(serving=peers("a", "b")), demand=demand), 1.0)
+    assert (view.serving, view.demand) == (("a", "b"), demand)
+    assert view.serving_count(500.0) == 2
 
 
 def test_the_serving_count_is_the_recent_maximum():
-    world = World()
-    assert world.serving_count(0.0) == 1
-    world.learn(feed(life="k", roster=roster(serving=peers("a", "b", "c"))), 1.0)
-    world.learn(feed(life="l", roster=roster(serving=peers("a"))), 4.0)
-    assert world.serving == ("a",)
-    assert world.serving_count(5.0) == 3
-    assert world.serving_count(15.0) == 1
+    view = ClusterView()
+    assert view.serving_count(0.0) == 1
+    view.learn(feed(life="k", roster=roster(serving=peers("a", "b", "c"))), 1.0)
+    view.learn(feed(life="l", roster=roster(serving=peers("a"))), 4.0)
+    assert view.serving == ("a",)
+    assert view.serving_count(5.0) == 3
+    assert view.serving_count(15.0) == 1
 
 
 def test_demand_is_taken_from_the_replica_that_lists_most_gateways():
-    world = World()
+    view = ClusterView()
     few = [RegionDemand("north", "s", 1.0)]
     most = [RegionDemand("north", "s", 5.0)]
-    world.learn(feed(life="k", roster=roster(serving=peers("a", "b")), demand=most), 1.0)
-    world.learn(feed(life="l", roster=roster(serving=peers("a")), demand=few), 1.5)
-    assert world.demand == most
+    view.learn(feed(life="k", roster=roster(serving=peers("a", "b")), demand=most), 1.0)
+    view.learn(feed(life="l", roster=roster(serving=peers("a")), demand=few), 1.5)
+    assert view.demand == most
 
 
 def test_an_upstream_is_silent_when_all_fresh_replicas_report_it():
-    world = World()
-    world.learn(feed(upstreams=[HeardUpstream(registration(), 0.0)]), 1.0)
-    world.learn(feed(life="k", roster=roster(silent=["i"])), 1.0)
-    world.learn(feed(life="l", roster=roster(silent=[])), 1.5)
-    assert not world.is_silent("i")
-    world.learn(feed(life="l", roster=roster(2, silent=["i"])), 2.0)
-    assert world.is_silent("i")
-    changes = world.changes
-    world.learn(feed(life="l", roster=roster(3, silent=[])), 2.5)
-    assert not world.is_silent("i")
-    assert world.changes > changes
+    view = ClusterView()
+    view.learn(feed(upstreams=[UpstreamHeartbeat(registration(), 0.0)]), 1.0)
+    view.learn(feed(life="k", roster=roster(silent=["i"])), 1.0)
+    view.learn(feed(life="l", roster=roster(silent=[])), 1.5)
+    assert not view.is_silent("i")
+    view.learn(feed(life="l", roster=roster(2, silent=["i"])), 2.0)
+    assert view.is_silent("i")
+    changes = view.changes
+    view.learn(feed(life="l", roster=roster(3, silent=[])), 2.5)
+    assert not view.is_silent("i")
+    assert view.changes > changes
 
 
 def test_an_upstream_that_stays_silent_is_removed():
-    world = World()
-    world.learn(feed(upstreams=[HeardUpstream(registration(), 0.0)]), 1.0)
-    world.learn(feed(roster=roster(silent=["i"])), 2.0)
-    world.forget_silent(31.0)
-    assert world.registry.get("i") is not None
-    world.forget_silent(33.0)
-    assert world.registry.get("i") is None
+    view = ClusterView()
+    view.learn(feed(upstreams=[UpstreamHeartbeat(registration(), 0.0)]), 1.0)
+    view.learn(feed(roster=roster(silent=["i"])), 2.0)
+    view.forget_silent(31.0)
+    assert view.registry.get("i") is not None
+    view.forget_silent(33.0)
+    assert view.registry.get("i") is None
 
 
 def test_an_unconfirmed_roster_only_adds_replicas():
-    world = World()
-    world.learn(
+    view = ClusterView()
+    view.learn(
         feed(roster=roster(replicas=[ReplicaAddress("a", "a:1"), ReplicaAddress("b", "b:1")])), 1.0
     )
-    world.learn(feed(roster=roster(2, replicas=[ReplicaAddress("c", "c:1")]), age=inf), 2.0)
-    assert sorted(world.replicas) == ["a", "b", "c"]
-    world.learn(feed(roster=roster(3, replicas=[ReplicaAddress("c", "c:1")])), 3.0)
-    assert sorted(world.replicas) == ["c"]
+    view.learn(feed(roster=roster(2, replicas=[ReplicaAddress("c", "c:1")]), age=inf), 2.0)
+    assert sorted(view.replicas) == ["a", "b", "c"]
+    view.learn(feed(roster=roster(3, replicas=[ReplicaAddress("c", "c:1")])), 3.0)
+    assert sorted(view.replicas) == ["c"]
 
 
 def test_an_unconfirmed_configuration_is_used_only_after_a_wait():
     steering = Steering()
     steering.change_items(change(service(), route()))
-    world = World()
-    world.learn(feed(image=steering.image(), age=inf), 10.0)
-    assert not world.is_ready
-    world.learn(feed(age=inf), 13.5)
-    assert world.is_ready
-    other = World()
+    view = ClusterView()
+    view.learn(feed(image=steering.image(), age=inf), 10.0)
+    assert not view.is_ready
+    view.learn(feed(age=inf), 13.5)
+    assert view.is_ready
+    other = ClusterView()
     other.learn(feed(image=steering.image(), age=inf), 10.0)
     other.learn(feed(), 10.1)
     assert other.is_ready
