--- a/src/finchway/control/_feed.py
+++ b/src/finchway/control/_feed.py
@@ -167,7 +167,7 @@
             silent=(
                 current.silent
                 if silent is None
-                else sorted(received.registration.life for received in silent)
+                else sorted(received.registration.incarnation for received in silent)
             ),
             replicas=[
                 ReplicaAddress(member.name, member.address)
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -175,7 +175,7 @@
     def _log_late_heartbeat(self, registration: Registration) -> None:
         self._decisions.write(
             BeliefChanged(
-                subject=f"upstream/{registration.life}",
+                subject=f"upstream/{registration.incarnation}",
                 now=f"heartbeat {registration.sequence} came late and is passed over",
                 source=f"{registration.service} {registration.address}",
             )
--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -187,7 +187,7 @@
         await nursery.start(self._api_server.run)
 
     async def _open_replica(self) -> ReplicaRunner:
-        """Open the data folder; without sound data the replica joins the others under a new life.
+        """Open the data folder; without sound data the replica joins as a new incarnation.
 
         Raises `NotBootstrappedError` if the folder is empty and no other replica is set.
         """
--- a/src/finchway/feed/_cluster_view.py
+++ b/src/finchway/feed/_cluster_view.py
@@ -183,7 +183,7 @@
         if not long_silent:
             return
         for upstream in self._registry.all():
-            if upstream.registration.life in long_silent:
+            if upstream.registration.incarnation in long_silent:
                 self._registry.remove(upstream.registration.instance)
 
     def _update_report(self, feed: Feed, now: float) -> None:
--- a/src/finchway/gateway/_askings.py
+++ b/src/finchway/gateway/_askings.py
@@ -21,7 +21,7 @@
 class LatestPushback(Struct, frozen=True):
     """The incarnation of an upstream's latest pushback, and its time in Unix seconds."""
 
-    life: str
+    incarnation: str
     at: float
 
 
@@ -44,25 +44,25 @@
         """The backoffs that upstreams have requested."""
         return self._backoffs
 
-    def is_leaving(self, life: str) -> bool:
+    def is_leaving(self, incarnation: str) -> bool:
         """Return whether an incarnation has announced that it leaves."""
-        return life in self._leaving
+        return incarnation in self._leaving
 
     def note(self, upstream: Registration, pushback: Pushback, now: float) -> bool:
         """Apply and log the pushback of an answer; return whether it newly announces leaving."""
-        life = upstream.life
+        incarnation = upstream.incarnation
         if pushback.backoff_s > 0:
-            self._backoffs.start(life, pushback.backoff_s, now)
-            self._log(life, "asks for rest", f"its 503: {pushback.backoff_s:g} s")
+            self._backoffs.start(incarnation, pushback.backoff_s, now)
+            self._log(incarnation, "asks for rest", f"its 503: {pushback.backoff_s:g} s")
         if pushback.invalid_retry_after:
             self._log(
-                life,
+                incarnation,
                 "unreadable",
                 f"its retry-after: {pushback.invalid_retry_after[:MAX_LOGGED_CHARS]}",
             )
         if pushback.backoff_s > 0 or pushback.leaving or pushback.limit is not None:
-            self._set_latest(upstream.instance, life)
-        return pushback.leaving and self._leaving.add(life)
+            self._set_latest(upstream.instance, incarnation)
+        return pushback.leaving and self._leaving.add(incarnation)
 
     def inherit(self, upstream: Registration) -> None:
         """Apply an upstream's latest pushback to a new incarnation that may have sent it.
@@ -71,20 +71,22 @@
         incarnation that started after the pushback cannot have sent it.
         """
         latest = self._latest.get(upstream.instance)
-        if latest is None or latest.life == upstream.life:
+        if latest is None or latest.incarnation == upstream.incarnation:
             return
         if upstream.born / 1000 > latest.at + MAX_CLOCK_SKEW_S:
             return
-        self._backoffs.carry_over(latest.life, upstream.life)
-        self._limits.carry_over(latest.life, upstream.life)
-        if latest.life in self._leaving:
-            self._leaving.add(upstream.life)
+        self._backoffs.carry_over(latest.incarnation, upstream.incarnation)
+        self._limits.carry_over(latest.incarnation, upstream.incarnation)
+        if latest.incarnation in self._leaving:
+            self._leaving.add(upstream.incarnation)
 
-    def _set_latest(self, instance: str, life: str) -> None:
+    def _set_latest(self, instance: str, incarnation: str) -> None:
         self._latest.pop(instance, None)
-        self._latest[instance] = LatestPushback(life, WALL.now())
+        self._latest[instance] = LatestPushback(incarnation, WALL.now())
         if len(self._latest) > MAX_TRACKED_UPSTREAMS:
             del self._latest[next(iter(self._latest))]
 
-    def _log(self, life: str, now: str, source: str) -> None:
-        self._decisions.write(BeliefChanged(subject=f"upstream/{life}", now=now, source=source))
+    def _log(self, incarnation: str, now: str, source: str) -> None:
+        self._decisions.write(
+            BeliefChanged(subject=f"upstream/{incarnation}", now=now, source=source)
+        )
--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -64,7 +64,7 @@
         for held in feed.image.items:
             self._note_belief(held.item.key, f"version {held.item.version}", held.revision)
         for mark in feed.image.marks:
-            self._note_belief(f"upstream/{mark.life}", mark.kind.value, mark.revision)
+            self._note_belief(f"upstream/{mark.incarnation}", mark.kind.value, mark.revision)
         for evacuation in feed.image.evacuations:
             now = "evacuated" if evacuation.active else "in use"
             self._note_belief(f"zone/{evacuation.zone}", now, evacuation.revision)
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -331,7 +331,7 @@
             answer.status, answer.headers, names.leaving, names.limit, WALL.now()
         )
         if is_own_answer(answer.status):
-            self._table.limits.note(record.registration.life, pushback, sent_at, now)
+            self._table.limits.note(record.registration.incarnation, pushback, sent_at, now)
         if pushback is NO_PUSHBACK:
             return
         task.asked = pushback
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -54,16 +54,18 @@
         """Set the callback for answers that name a new or a lower limit."""
         self._on_lowered = note
 
-    def note(self, life: str, pushback: Pushback, sent_at: float, now: float) -> None:
+    def note(self, incarnation: str, pushback: Pushback, sent_at: float, now: float) -> None:
         """Apply the limit in an answer to a request sent at `sent_at`, unless unreadable."""
-        before = self._named.rate(life)
+        before = self._named.rate(incarnation)
         if pushback.invalid_limit is not None:
-            self._log(life, "unreadable", f"its limit: {pushback.invalid_limit[:MAX_LOGGED_CHARS]}")
+            self._log(
+                incarnation, "unreadable", f"its limit: {pushback.invalid_limit[:MAX_LOGGED_CHARS]}"
+            )
             if pushback.limit is None:
                 return
-        if not self._named.record(life, pushback.limit, sent_at, now):
+        if not self._named.record(incarnation, pushback.limit, sent_at, now):
             return
-        self._log_limit(life, pushback.limit, "its answer")
+        self._log_limit(incarnation, pushback.limit, "its answer")
         if pushback.limit is not None and (before is None or pushback.limit < before):
             self._on_lowered()
 
@@ -86,8 +88,8 @@
         for totals in self._totals.values():
             totals.upstreams, totals.named, totals.part = 0, 0.0, 0.0
         for record in records:
-            life = record.registration.life
-            limit, part = self._named.rate(life), self._rate_limiter.part(life, now)
+            incarnation = record.registration.incarnation
+            limit, part = self._named.rate(incarnation), self._rate_limiter.part(incarnation, now)
             if limit is None or part is None:
                 continue
             totals = self._totals.setdefault(record.registration.service, LimitTotals())
@@ -96,27 +98,29 @@
             totals.part += part.rate
         return self._totals
 
-    def _part_of(self, life: str, limit: float, now: float) -> Part:
+    def _part_of(self, incarnation: str, limit: float, now: float) -> Part:
         """Return this gateway's share of a limit, cached until the set of gateways changes."""
         peers = self._view.peer_gateways
         regions = peers.regions(now)
         if peers.changes != self._parts_version or len(self._parts) >= MAX_LIMITS:
             self._parts_version = peers.changes
             self._parts = {}
-        cached = self._parts.get(life)
+        cached = self._parts.get(incarnation)
         if cached is not None and cached[0] == limit:
             return cached[1]
-        region = self._region_of(life)
+        region = self._region_of(incarnation)
         in_region = [name for name, where in regions.items() if where == region]
-        part = part_of_limit(self._name, life, limit, in_region, regions)
-        self._parts[life] = (limit, part)
+        part = part_of_limit(self._name, incarnation, limit, in_region, regions)
+        self._parts[incarnation] = (limit, part)
         return part
 
-    def _log_limit(self, life: str, rate: float | None, source: str) -> None:
+    def _log_limit(self, incarnation: str, rate: float | None, source: str) -> None:
         if rate is None:
-            self._log(life, "names no limit any more", source)
+            self._log(incarnation, "names no limit any more", source)
         else:
-            self._log(life, "names a limit", f"{source}: {rate:g} a second")
+            self._log(incarnation, "names a limit", f"{source}: {rate:g} a second")
 
-    def _log(self, life: str, now: str, source: str) -> None:
-        self._decisions.write(BeliefChanged(subject=f"upstream/{life}", now=now, source=source))
+    def _log(self, incarnation: str, now: str, source: str) -> None:
+        self._decisions.write(
+            BeliefChanged(subject=f"upstream/{incarnation}", now=now, source=source)
+        )
--- a/src/finchway/gateway/_poll.py
+++ b/src/finchway/gateway/_poll.py
@@ -30,22 +30,23 @@
 class ReplicaCursor:
     """The state that has been received from the replica at an address.
 
-    `life` is its incarnation, `order` the position up to which its upstreams have been received;
-    `rest` is set if its last answer was incomplete. `limits` is the position of its limits.
+    `incarnation` is the replica's, `order` the position up to which its upstreams have been
+    received; `rest` is set if its last answer was incomplete. `limits` is the position of its
+    limits.
     """
 
-    __slots__ = ("life", "limits", "order", "rest")
+    __slots__ = ("incarnation", "limits", "order", "rest")
 
     def __init__(self) -> None:
-        self.life = ""
+        self.incarnation = ""
         self.order = 0
         self.rest = False
         self.limits = LimitLogPosition()
 
     def note(self, answer: Feed) -> None:
         """Advance to an answer; a late one of the same incarnation never moves back."""
-        if answer.life != self.life:
-            self.life, self.order = answer.life, answer.order
+        if answer.life != self.incarnation:
+            self.incarnation, self.order = answer.life, answer.order
         if answer.order >= self.order:
             self.order, self.rest = answer.order, answer.more
         if answer.limits is not None:
--- a/src/finchway/gateway/_reservation.py
+++ b/src/finchway/gateway/_reservation.py
@@ -21,6 +21,6 @@
     is_sent: bool = False
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The incarnation of the upstream."""
-        return self.record.registration.life
+        return self.record.registration.incarnation
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -163,7 +163,7 @@
     def _all_in_backoff(self, task: Task, now: float) -> bool:
         """Return whether all upstreams for a request are in a backoff that they requested."""
         return all(
-            self._table.rests.remaining_s(record.registration.life, now) > 0
+            self._table.rests.remaining_s(record.registration.incarnation, now) > 0
             for upstreams in self._allowed_regions(task, now).values()
             for record in upstreams.records.values()
         )
@@ -204,14 +204,14 @@
             if name in task.tried:
                 continue
             if not self._table.is_available(record, now):
-                passed_over.resting += rests.remaining_s(record.registration.life, now) > 0
+                passed_over.resting += rests.remaining_s(record.registration.incarnation, now) > 0
                 passed_over.at_limit += (
-                    self._table.limits.rate_limiter.wait(record.registration.life, now) > 0
+                    self._table.limits.rate_limiter.wait(record.registration.incarnation, now) > 0
                 )
                 continue
             if name in outliers and not record.outlier_state.may_try(now):
                 continue
-            if task.request.more and rests.is_awaiting_trial(record.registration.life, now):
+            if task.request.more and rests.is_awaiting_trial(record.registration.incarnation, now):
                 # A streamed body cannot be sent again if the trial request is refused.
                 continue
             candidates.append(self._candidate(plan, region, record, now))
@@ -221,11 +221,11 @@
         if chosen is None:
             return None
         record = upstreams.records[chosen.instance]
-        life = record.registration.life
+        incarnation = record.registration.incarnation
         if chosen.instance in outliers:
             record.outlier_state.record_trial(now)
             reason = ChoiceReason.TRIAL
-        elif rests.is_awaiting_trial(record.registration.life, now):
+        elif rests.is_awaiting_trial(record.registration.incarnation, now):
             reason = ChoiceReason.RETURN
         elif is_spilled:
             reason = ChoiceReason.OTHER_REGION
@@ -239,11 +239,11 @@
             now - record.reported_at,
             now - self._view.heard_at,
             plan.local_share,
-            rests.remaining_s(life, now),
+            rests.remaining_s(incarnation, now),
             passed_over,
-            self._table.limits.named.rate(life),
-            self._table.limits.named.age(life, now),
-            self._table.limits.rate_limiter.part(life, now),
+            self._table.limits.named.rate(incarnation),
+            self._table.limits.named.age(incarnation, now),
+            self._table.limits.rate_limiter.part(incarnation, now),
         )
 
     def _candidate(
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -206,9 +206,9 @@
         request = Subscribe(
             beat=self._next_heartbeat(),
             revision=self._view.steering.revision,
-            life=cursor.life,
+            life=cursor.incarnation,
             order=cursor.order,
-            roster=self._view.roster_version(cursor.life),
+            roster=self._view.roster_version(cursor.incarnation),
             demand=self._is_demand_due(),
             rest=cursor.rest,
             limits=cursor.limits,
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -231,7 +231,7 @@
         if evidence.is_answered:
             return
         evidence.seen += 1
-        evidence.last = record.registration.life
+        evidence.last = record.registration.incarnation
         earlier = self._local_evidence.pop(task.fingerprint, None)
         crashes = max(evidence.crashes, earlier.ends if earlier else 0)
         self._local_evidence[task.fingerprint] = _LocalEvidence(crashes, now)
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -67,7 +67,7 @@
         for name, record in self.records.items():
             if name in excluded:
                 continue
-            limit = limits.rate(record.registration.life)
+            limit = limits.rate(record.registration.incarnation)
             record_capacity = record.registration.slots * rate_per_slot
             total += record_capacity if limit is None else min(record_capacity, limit)
         return total
@@ -150,7 +150,7 @@
         for known in self._view.registry.all():
             registration = known.registration
             seen.add(registration.instance)
-            self._names[registration.life] = registration.instance
+            self._names[registration.incarnation] = registration.instance
             record = self._record(registration, known.heard_at)
             state = self._state(registration)
             self._note_state(record, state, now - known.heard_at)
@@ -184,7 +184,7 @@
         states = ("well", OUTLIER) if is_outlier else (OUTLIER, "well")
         self._decisions.write(
             BeliefChanged(
-                subject=f"upstream/{record.registration.life}",
+                subject=f"upstream/{record.registration.incarnation}",
                 now=states[1],
                 before=states[0],
                 source=f"its last answers; bad {record.outlier_state.bad_fraction:.2f}",
@@ -206,27 +206,34 @@
 
     def resting(self, now: float) -> frozenset[str]:
         """Return the upstreams that are in a backoff that they requested."""
-        lives = self.rests.backed_off(now)
-        return frozenset(self._names[life] for life in lives if life in self._names)
+        incarnations = self.rests.backed_off(now)
+        return frozenset(
+            self._names[incarnation] for incarnation in incarnations if incarnation in self._names
+        )
 
     def is_available(self, record: UpstreamRecord, now: float) -> bool:
         """Return whether an upstream may get a request now."""
-        life = record.registration.life
-        if record.backoff_until > now or not self.rests.may_send(life, now):
+        incarnation = record.registration.incarnation
+        if record.backoff_until > now or not self.rests.may_send(incarnation, now):
             return False
         # A named limit applies to all gateways together, so each one keeps to its share.
-        return self._limits.rate_limiter.may_send(life, now) and self._cold_allows(record, now)
+        return self._limits.rate_limiter.may_send(incarnation, now) and self._cold_allows(
+            record, now
+        )
 
     def available_in(self, record: UpstreamRecord, now: float) -> float:
         """Return the seconds until an upstream's requested backoff or limit admits a request."""
-        life = record.registration.life
-        return max(self.rests.remaining_s(life, now), self._limits.rate_limiter.wait(life, now))
+        incarnation = record.registration.incarnation
+        return max(
+            self.rests.remaining_s(incarnation, now),
+            self._limits.rate_limiter.wait(incarnation, now),
+        )
 
     def reserve(self, record: UpstreamRecord, request_id: str, key: str, now: float) -> Reservation:
         """Count a request that is about to be sent."""
         reserved = Reservation(record, request_id)
-        reserved.is_trial = self.rests.begin(reserved.life, now)
-        reserved.is_counted = self._limits.rate_limiter.take(reserved.life, now)
+        reserved.is_trial = self.rests.begin(reserved.incarnation, now)
+        reserved.is_counted = self._limits.rate_limiter.take(reserved.incarnation, now)
         record.in_flight += 1
         if record.is_warm(key, now):
             record.warm_in_flight[request_id] = now
@@ -240,9 +247,9 @@
         record.in_flight -= 1
         record.warm_in_flight.pop(reserved.request_id, None)
         if reserved.is_trial:
-            self.rests.end_trial(reserved.life, was_answered)
+            self.rests.end_trial(reserved.incarnation, was_answered)
         if reserved.is_counted and not reserved.is_sent:
-            self._limits.rate_limiter.return_token(reserved.life)
+            self._limits.rate_limiter.return_token(reserved.incarnation)
 
     async def connect(self, reserved: Reservation, now: float) -> UpstreamConnection:
         """Return an idle connection or a new one; raises `AttemptError`.
@@ -265,13 +272,13 @@
         )
 
     def _still_available(self, reserved: Reservation, now: float) -> bool:
-        if reserved.record.state != IN_USE or self.rests.remaining_s(reserved.life, now) > 0:
+        if reserved.record.state != IN_USE or self.rests.remaining_s(reserved.incarnation, now) > 0:
             return False
         if reserved.is_counted:
             return True
-        if not self._limits.rate_limiter.may_send(reserved.life, now):
+        if not self._limits.rate_limiter.may_send(reserved.incarnation, now):
             return False
-        reserved.is_counted = self._limits.rate_limiter.take(reserved.life, now)
+        reserved.is_counted = self._limits.rate_limiter.take(reserved.incarnation, now)
         return True
 
     async def open_connection(self, record: UpstreamRecord) -> UpstreamConnection:
@@ -301,9 +308,9 @@
         for record in self._records.values():
             record.close_idle()
 
-    def _region_of(self, life: str) -> str:
+    def _region_of(self, incarnation: str) -> str:
         """Return the region of an incarnation; empty if it is not known."""
-        record = self._records.get(self._names.get(life, ""))
+        record = self._records.get(self._names.get(incarnation, ""))
         if record is None:
             return ""
         zone = record.registration.zone
@@ -311,7 +318,7 @@
 
     def _record(self, registration: Registration, heard_at: float) -> UpstreamRecord:
         record = self._records.get(registration.instance)
-        if record is not None and record.registration.life != registration.life:
+        if record is not None and record.registration.incarnation != registration.incarnation:
             self._end(record)
             record = None
         if record is None:
@@ -337,12 +344,12 @@
     def _state(self, registration: Registration) -> str:
         if registration.state is not UpstreamState.READY:
             return registration.state.value
-        if self._pushback.is_leaving(registration.life):
+        if self._pushback.is_leaving(registration.incarnation):
             return LEAVING
         mark = self._view.steering.mark_of(registration)
         if mark is not None:
             return mark.kind.value
-        if self._view.is_silent(registration.life):
+        if self._view.is_silent(registration.incarnation):
             return SILENT
         return IN_USE
 
@@ -351,7 +358,7 @@
             return
         self._decisions.write(
             BeliefChanged(
-                subject=f"upstream/{record.registration.life}",
+                subject=f"upstream/{record.registration.incarnation}",
                 now=state,
                 before=record.state,
                 source=f"{record.registration.service} {record.registration.address}",
--- a/src/finchway/registry/_addresses.py
+++ b/src/finchway/registry/_addresses.py
@@ -36,7 +36,7 @@
         is not known yet replaces the owner if its heartbeat is newer.
         """
         owner = self._owners.get(registration.address)
-        if owner is not None and owner.registration.life != registration.life:
+        if owner is not None and owner.registration.incarnation != registration.incarnation:
             is_live = received_at - owner.received_at < self._owner_timeout
             if is_live and not self._is_successor(owner, registration, received_at, is_known):
                 return False
@@ -46,7 +46,7 @@
     def owns(self, registration: Registration) -> bool:
         """Return whether an incarnation owns the address that it registered."""
         owner = self._owners.get(registration.address)
-        return owner is None or owner.registration.life == registration.life
+        return owner is None or owner.registration.incarnation == registration.incarnation
 
     def release(self, registration: Registration) -> None:
         """Release the address of an incarnation, if it owns it."""
--- a/src/finchway/registry/_upstream.py
+++ b/src/finchway/registry/_upstream.py
@@ -46,7 +46,7 @@
     born: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of this incarnation."""
         return incarnation_name(self.instance, self.born)
 
@@ -72,6 +72,6 @@
     born: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of the marked incarnation; the id alone stands for all its incarnations."""
         return incarnation_name(self.instance, self.born)
--- a/src/finchway/resources/_specs.py
+++ b/src/finchway/resources/_specs.py
@@ -179,7 +179,7 @@
 
 
 class Leaving(Spec):
-    """A mark on one life of an upstream, written by the leader: it receives no new work.
+    """A mark on one incarnation of an upstream, written by the leader: it receives no new work.
 
     Some entry has learnt it from the upstream or the platform; the mark tells all others.
     """
--- a/src/finchway/state/_steering.py
+++ b/src/finchway/state/_steering.py
@@ -41,7 +41,7 @@
         image = image or SteeringImage()
         self._revision = image.revision
         self._catalog = Catalog(image.items)
-        self._marks = {mark.life: mark for mark in image.marks}
+        self._marks = {mark.incarnation: mark for mark in image.marks}
         self._evacuations = {e.zone: e for e in image.evacuations}
         self._suspects = Suspects(image.suspects)
 
@@ -93,7 +93,7 @@
         for held in image.items:
             self._catalog.put(held)
         for mark in image.marks:
-            self._marks[mark.life] = mark
+            self._marks[mark.incarnation] = mark
         for evacuation in image.evacuations:
             self._evacuations[evacuation.zone] = evacuation
         for suspect in image.suspects:
@@ -122,15 +122,15 @@
 
         A mark applies only to the incarnation that it names, or to all of them if it names none.
         """
-        return self._marks.get(registration.life) or self._marks.get(registration.instance)
+        return self._marks.get(registration.incarnation) or self._marks.get(registration.instance)
 
     def mark_upstream(self, command: c.MarkUpstream) -> c.AnyResult:
         """Mark an incarnation as leaving; GONE is never changed back to DRAINING."""
         mark = Mark(self._revision + 1, command.instance, command.kind, command.born)
-        current = self._marks.get(mark.life)
+        current = self._marks.get(mark.incarnation)
         if current is None or (current.kind is MarkKind.DRAINING and command.kind is MarkKind.GONE):
             self._revision += 1
-            self._marks[mark.life] = mark
+            self._marks[mark.incarnation] = mark
             self._evict_oldest_marks()
         return c.Steered(self._revision)
 
@@ -159,7 +159,7 @@
         if len(self._marks) <= MAX_MARKS:
             return
         for mark in sorted(self._marks.values(), key=_revision_of)[: len(self._marks) - MAX_MARKS]:
-            del self._marks[mark.life]
+            del self._marks[mark.incarnation]
 
 
 def _revision_of(record: Mark | Evacuation) -> int:
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -153,7 +153,7 @@
     document = documents.beat("10.0.0.1:1", "ready", 3)
     assert registration_from_beat("i-1", encode(document)).born == 0
     registration = registration_from_beat("i-1", encode(document | {"born": 1_787_833_522_241}))
-    assert registration.life == "i-1@1787833522241"
+    assert registration.incarnation == "i-1@1787833522241"
 
 
 @pytest.mark.parametrize("born", [True, 1.5, "1787833522241", -1, 2**60, None, [1]])
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -160,7 +160,7 @@
     async def check(machine):
         reports = LimitReports()
         rate_limiter = RateLimiter(
-            reports, random.Random(1), lambda life, limit, now: Part(limit, 2.0)
+            reports, random.Random(1), lambda incarnation, limit, now: Part(limit, 2.0)
         )
         reports.record("i-1", 1.0, trio.current_time(), trio.current_time())
         machine.suspended += 60.0
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -101,7 +101,7 @@
     assert registry.record(heartbeat(1, 0), 100.0)
     assert registry.record(heartbeat(2, 0), 101.0)
     assert not registry.record(heartbeat(1, 0), 102.0)
-    assert registry.get("i").registration.life == "i"
+    assert registry.get("i").registration.incarnation == "i"
 
 
 def test_of_two_incarnations_at_one_address_the_later_start_time_owns_it():
@@ -156,13 +156,13 @@
 
 def test_a_silent_first_incarnation_does_not_make_the_second_silent():
     view = ClusterView()
-    roster = Roster(version=1, silent=[heartbeat(1, FIRST).life])
+    roster = Roster(version=1, silent=[heartbeat(1, FIRST).incarnation])
     upstreams = [UpstreamHeartbeat(heartbeat(1, SECOND), 0.0)]
     feed = Feed(
         life="k", order=1, image=SteeringImage(), age=0.0, upstreams=upstreams, roster=roster
     )
     view.learn(feed, 1.0)
-    assert view.is_silent(heartbeat(1, FIRST).life)
-    assert not view.is_silent(heartbeat(1, SECOND).life)
+    assert view.is_silent(heartbeat(1, FIRST).incarnation)
+    assert not view.is_silent(heartbeat(1, SECOND).incarnation)
     view.forget_silent(100.0)
     assert view.registry.get("i") is not None
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -71,7 +71,7 @@
 def test_requests_in_any_window_are_bounded_by_the_part_and_one_burst(rate, burst, gaps):
     reports = LimitReports()
     rate_limiter = RateLimiter(
-        reports, random.Random(1), lambda life, limit, now: Part(rate, burst)
+        reports, random.Random(1), lambda incarnation, limit, now: Part(rate, burst)
     )
     reports.record("i-1", rate, 0.0, 0.0)
     now, sent = 0.0, []
@@ -85,7 +85,9 @@
 
 def test_unsent_requests_return_their_token_and_unlimited_ones_are_not_counted():
     reports = LimitReports()
-    rate_limiter = RateLimiter(reports, random.Random(1), lambda life, limit, now: Part(0.5, 1.0))
+    rate_limiter = RateLimiter(
+        reports, random.Random(1), lambda incarnation, limit, now: Part(0.5, 1.0)
+    )
     assert rate_limiter.may_send("i-1", 0.0)
     assert not rate_limiter.take("i-1", 0.0)
     reports.record("i-1", 0.5, 0.0, 0.0)
@@ -101,7 +103,9 @@
 
 def test_state_of_ended_incarnations_is_bounded():
     reports = LimitReports()
-    rate_limiter = RateLimiter(reports, random.Random(1), lambda life, limit, now: Part(limit))
+    rate_limiter = RateLimiter(
+        reports, random.Random(1), lambda incarnation, limit, now: Part(limit)
+    )
     for number in range(MAX_LIMITS + 100):
         reports.record(f"i-{number}", 1.0, 0.0, 0.0)
         rate_limiter.may_send(f"i-{number}", 0.0)
@@ -147,7 +151,7 @@
         {report.incarnation for report in reports.reports_to_send(1.1 + step / 10)}
         for step in range(3)
     ]
-    assert [len(lives) for lives in sent] == [16, 16, 16]
+    assert [len(incarnations) for incarnations in sent] == [16, 16, 16]
     assert len(set.union(*sent)) == 40
     reports.record("i-00", 3.0, 1.5, 1.6)
     assert reports.reports_to_send(1.7)[0].incarnation == "i-00"
