--- a/bench/feed.py
+++ b/bench/feed.py
@@ -93,7 +93,7 @@
     view = ClusterView()
     started = time.perf_counter()
     for number in range(REPEATS):
-        view.learn(msgspec.msgpack.decode(data, type=Feed), float(number))
+        view.merge(msgspec.msgpack.decode(data, type=Feed), float(number))
     return len(data), encode, (time.perf_counter() - started) / REPEATS
 
 
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -230,7 +230,7 @@
                 while gateway.writer._take():
                     pass
                 now = trio.current_time()
-                gateway.view.learn(self._feed(version), now)
+                gateway.view.merge(self._feed(version), now)
                 self._limit_log.merge(gateway.table.limits.told(), now)
                 heard = self._limit_log.since(gateway.known, now)
                 if heard is not None:
--- a/src/finchway/control/_feed.py
+++ b/src/finchway/control/_feed.py
@@ -106,7 +106,7 @@
         while True:
             await trio.sleep(SHARE_INTERVAL_S)
             now = trio.current_time()
-            self._registry.forget_silent(now)
+            self._registry.remove_silent(now)
             silent = self._registry.silent(now, self._silent_after)
             self._update_roster(silent, now)
             self._share_heartbeats(silent or [], now)
@@ -146,14 +146,14 @@
             order=page[-1].order if more else self._registry.order,
             image=steering.image(poll.revision if known else -1),
             upstreams=[
-                UpstreamHeartbeat(received.registration, round(now - received.heard_at, 3))
+                UpstreamHeartbeat(received.registration, round(now - received.received_at, 3))
                 for received in page
             ],
             more=more,
             roster=None if has_roster else self._roster,
             demand=self._gateways.demand(now) if poll.demand else None,
             held=round(now - arrived_at, 3),
-            age=round(now - runner.covered_at, 3),
+            age=round(now - runner.current_as_of, 3),
             limits=self._limits.since(poll.limits, now),
         )
 
@@ -192,7 +192,7 @@
             return
         shared = ShareHeartbeats(
             upstreams=[
-                UpstreamHeartbeat(h.registration, round(now - h.heard_at, 3))
+                UpstreamHeartbeat(h.registration, round(now - h.received_at, 3))
                 for h in heartbeats
                 if h
             ]
--- a/src/finchway/control/_replica.py
+++ b/src/finchway/control/_replica.py
@@ -91,7 +91,7 @@
         self._last_leader: str | None = None
         self._confirmed_at = float("-inf")
         self._confirmed_index = 0
-        self._covered_at = float("-inf")
+        self._current_as_of = float("-inf")
 
     @property
     def machine(self) -> StateMachine:
@@ -129,13 +129,13 @@
         return self._confirmed_index
 
     @property
-    def covered_at(self) -> float:
+    def current_as_of(self) -> float:
         """The time up to which the applied state is guaranteed to hold all accepted changes.
 
         It is on this process's clock, and -inf before a leader is first confirmed. Contact with
         the leader alone does not advance it, since this replica's log may still lag behind.
         """
-        return self._covered_at
+        return self._current_as_of
 
     @property
     def failure(self) -> str:
@@ -190,15 +190,15 @@
                 await self.wait_applied(waiter.index)
                 self._confirmed_at = max(self._confirmed_at, requested_at)
                 self._confirmed_index = max(self._confirmed_index, waiter.index)
-                self.note_covered(requested_at)
+                self.advance_current_as_of(requested_at)
                 return waiter.index
         finally:
             self._reads.pop(number, None)
         raise UnavailableError("no quorum confirmed the leader in time")
 
-    def note_covered(self, at: float) -> None:
+    def advance_current_as_of(self, at: float) -> None:
         """Record that the applied state holds all changes accepted up to a time."""
-        self._covered_at = max(self._covered_at, at)
+        self._current_as_of = max(self._current_as_of, at)
 
     async def wait_applied(self, index: int) -> None:
         """Return once the entry at `index` is applied here."""
@@ -288,7 +288,7 @@
         self._apply(committed)
         for number, index in ready.reads:
             self._finish_read(number, index)
-        self._note_leader()
+        self._record_leader()
         if self._applied - self._core.snapshot_index >= self._snapshot_interval():
             await self._take_snapshot()
 
@@ -357,7 +357,7 @@
             waiter.index = index
             waiter.event.set()
 
-    def _note_leader(self) -> None:
+    def _record_leader(self) -> None:
         if self._core.leader != self._last_leader:
             self._last_leader = self._core.leader
             detail = f"term {self._core.term}"
--- a/src/finchway/control/_server.py
+++ b/src/finchway/control/_server.py
@@ -180,7 +180,7 @@
         confirmed = await self.at_leader(Confirm(within=within))
         with trio.move_on_after(FORWARD_TIMEOUT_S):
             await self._runner.wait_applied(confirmed.index)
-            self._runner.note_covered(requested_at - confirmed.age)
+            self._runner.advance_current_as_of(requested_at - confirmed.age)
             return self._runner.machine.revision
         raise UnavailableError("this replica is too far behind")
 
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -208,7 +208,7 @@
         return self._metrics.render(
             ReplicaState(
                 is_leader=runner.is_leader,
-                covered_age_s=round(now - runner.covered_at, 3),
+                covered_age_s=round(now - runner.current_as_of, 3),
                 hears_leader=runner.core.heard_leader_within(LEADER_TIMEOUT_S),
                 voters=len(runner.core.members.voters),
                 applied=runner.applied,
--- a/src/finchway/control/_steering_api.py
+++ b/src/finchway/control/_steering_api.py
@@ -144,7 +144,7 @@
                     upstream.registration.zone,
                     upstream.registration.slots,
                     _state(upstream.registration, steering),
-                    round(now - upstream.heard_at, 3),
+                    round(now - upstream.received_at, 3),
                 )
                 for upstream in control.feed.registry.all()
             ],
--- a/src/finchway/feed/_cluster_view.py
+++ b/src/finchway/feed/_cluster_view.py
@@ -47,11 +47,11 @@
         self._registry = Registry(SILENT_RETENTION_S)
         self._reports: dict[str, ReplicaReport] = {}
         self._replicas: dict[str, str] = {}
-        self._heard_at = float("-inf")
-        self._first_heard_at = float("inf")
+        self._last_contact_at = float("-inf")
+        self._first_contact_at = float("inf")
         self._confirmed = False
         self._is_complete = False
-        self._covered_at = float("-inf")
+        self._current_as_of = float("-inf")
         self._evacuation_changed_at: dict[str, float] = {}
         self._silent: frozenset[str] = frozenset()
         self._silent_since: dict[str, float] = {}
@@ -85,24 +85,26 @@
         """
         if self._steering.catalog.is_empty or not self._is_complete:
             return False
-        return self._confirmed or self._heard_at - self._first_heard_at >= UNCONFIRMED_WAIT_S
+        return (
+            self._confirmed or self._last_contact_at - self._first_contact_at >= UNCONFIRMED_WAIT_S
+        )
 
     @property
-    def heard_at(self) -> float:
+    def last_contact_at(self) -> float:
         """When the last answer of any replica arrived."""
-        return self._heard_at
+        return self._last_contact_at
 
     @property
-    def covered_at(self) -> float:
+    def current_as_of(self) -> float:
         """The time up to which all accepted changes are guaranteed to be known here.
 
         It is computed from the time of the request, so that delays in transit only make it older.
         """
-        return self._covered_at
+        return self._current_as_of
 
-    def knows_all_until(self, moment: float) -> bool:
+    def is_current_as_of(self, moment: float) -> bool:
         """Return whether all changes accepted before a time are known here."""
-        return self._covered_at >= moment
+        return self._current_as_of >= moment
 
     @property
     def changes(self) -> int:
@@ -158,14 +160,14 @@
         """Return when a zone's evacuation last changed here."""
         return self._evacuation_changed_at.get(zone, float("-inf"))
 
-    def learn(self, feed: Feed, now: float, asked_at: float | None = None) -> bool:
-        """Merge the answer to a request sent at `asked_at`; return whether the state changed."""
-        self._heard_at = now
-        self._first_heard_at = min(self._first_heard_at, now)
+    def merge(self, feed: Feed, now: float, requested_at: float | None = None) -> bool:
+        """Merge the answer to a request of `requested_at`; return whether the state changed."""
+        self._last_contact_at = now
+        self._first_contact_at = min(self._first_contact_at, now)
         self._confirmed = self._confirmed or feed.age <= CONFIRMED_MAX_AGE_S
         self._is_complete = self._is_complete or not feed.more
-        sent_at = now if asked_at is None else asked_at + feed.held
-        self._covered_at = max(self._covered_at, sent_at - feed.age)
+        sent_at = now if requested_at is None else requested_at + feed.held
+        self._current_as_of = max(self._current_as_of, sent_at - feed.age)
         self._update_report(feed, now)
         before = self._steering.evacuated
         moved = self._steering.merge(feed.image)
@@ -176,7 +178,7 @@
         self._changes += bool(moved or feed.upstreams)
         return moved
 
-    def forget_silent(self, now: float) -> None:
+    def remove_silent(self, now: float) -> None:
         """Remove upstreams that have been silent for long."""
         oldest = now - SILENT_RETENTION_S
         long_silent = {name for name, since in self._silent_since.items() if since < oldest}
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -99,7 +99,7 @@
         A 404 is final for its caller, and a gateway that is cut off from control may lack a route
         that was accepted long ago.
         """
-        if self._view.knows_all_until(trio.current_time() - self._apply_within):
+        if self._view.is_current_as_of(trio.current_time() - self._apply_within):
             await self._refuse(connection, request, Reply(404), "no route")
             return
         await self._refuse(
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -46,8 +46,8 @@
                 reason=reason,
                 ms=_ms(now - request.arrived_at),
                 revision=self._view.steering.revision,
-                heard_ms=_ms(now - self._view.heard_at),
-                known_ms=_ms(now - self._view.covered_at),
+                heard_ms=_ms(now - self._view.last_contact_at),
+                known_ms=_ms(now - self._view.current_as_of),
                 up_ms=_ms(now - self._started_at),
                 lag_ms=_ms(self._lag.worst_s),
             )
@@ -74,8 +74,8 @@
                 back_ms=_ms(task.back_in) or None,
                 digest="" if 0 < status < 400 else task.digest,
                 revision=self._view.steering.revision,
-                heard_ms=_ms(now - self._view.heard_at),
-                known_ms=_ms(now - self._view.covered_at),
+                heard_ms=_ms(now - self._view.last_contact_at),
+                known_ms=_ms(now - self._view.current_as_of),
             )
         )
 
--- a/src/finchway/gateway/_role.py
+++ b/src/finchway/gateway/_role.py
@@ -110,8 +110,8 @@
         now = trio.current_time()
         state = GatewayState(
             revision=self._view.steering.revision,
-            feed_age_s=round(now - self._view.heard_at, 3),
-            known_age_s=round(now - self._view.covered_at, 3),
+            feed_age_s=round(now - self._view.last_contact_at, 3),
+            known_age_s=round(now - self._view.current_as_of, 3),
             loop_lag_s=round(self._lag.worst_s, 3),
             in_flight=self._forwarder.in_flight,
             connections=self._server.connections,
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -237,7 +237,7 @@
             reason,
             chosen.in_flight,
             now - record.reported_at,
-            now - self._view.heard_at,
+            now - self._view.last_contact_at,
             plan.local_share,
             rests.remaining_s(incarnation, now),
             passed_over,
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -245,7 +245,7 @@
         if feed.limits is not None:
             self._apply_limits(feed.limits.reports)
         before = self._view.steering.revision
-        if self._view.learn(feed, trio.current_time(), sent_at):
+        if self._view.merge(feed, trio.current_time(), sent_at):
             self._log.note_applied(feed, before, self._view.steering.revision)
             self._apply_suspects(feed.image.suspects)
 
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -143,7 +143,7 @@
         """Update the table from the received feeds."""
         self._refreshed_at = now
         self._applied_changes = self._view.changes
-        self._view.forget_silent(now)
+        self._view.remove_silent(now)
         self._names = {}
         by_service: dict[str, list[UpstreamRecord]] = {}
         seen = set()
@@ -151,9 +151,9 @@
             registration = known.registration
             seen.add(registration.instance)
             self._names[registration.incarnation] = registration.instance
-            record = self._record(registration, known.heard_at)
+            record = self._record(registration, known.received_at)
             state = self._state(registration)
-            self._note_state(record, state, now - known.heard_at)
+            self._note_state(record, state, now - known.received_at)
             if state == IN_USE:
                 by_service.setdefault(registration.service, []).append(record)
             else:
@@ -316,7 +316,7 @@
         zone = record.registration.zone
         return self._zones().get(zone, zone)
 
-    def _record(self, registration: Registration, heard_at: float) -> UpstreamRecord:
+    def _record(self, registration: Registration, received_at: float) -> UpstreamRecord:
         record = self._records.get(registration.instance)
         if record is not None and record.registration.incarnation != registration.incarnation:
             self._end(record)
@@ -325,7 +325,9 @@
             record = self._records[registration.instance] = UpstreamRecord(registration)
             self._pushback.inherit(registration)
         record.registration = registration
-        cold_until = heard_at + registration.cold_for if registration.cold_for > 0 else heard_at
+        cold_until = (
+            received_at + registration.cold_for if registration.cold_for > 0 else received_at
+        )
         ended_at = self._view.evacuation_changed_at(registration.zone)
         cold_until = max(cold_until, ended_at + self._cold_start(registration.service))
         record.cold_until = max(record.cold_until, cold_until)
--- a/src/finchway/registry/_registry.py
+++ b/src/finchway/registry/_registry.py
@@ -26,7 +26,7 @@
     """
 
     registration: Registration
-    heard_at: float
+    received_at: float
     order: int
     cold_until: float
 
@@ -91,7 +91,7 @@
             return earlier.sequence >= registration.sequence
         if registration.born > earlier.born:
             return False
-        return received_at - known.heard_at < LATER_INCARNATION_TIMEOUT_S
+        return received_at - known.received_at < LATER_INCARNATION_TIMEOUT_S
 
     def remove(self, instance: str) -> None:
         """Remove an upstream and release its address."""
@@ -126,14 +126,14 @@
         silent = [
             received
             for received in self._newest.values()
-            if received.heard_at < oldest or self._was_replaced(received)
+            if received.received_at < oldest or self._was_replaced(received)
         ]
         return silent if len(silent) < len(self._newest) else None
 
-    def forget_silent(self, now: float) -> list[str]:
+    def remove_silent(self, now: float) -> list[str]:
         """Remove upstreams that have been silent for long; return their names."""
         oldest = now - self._retention
-        silent = [name for name, received in self._newest.items() if received.heard_at < oldest]
+        silent = [name for name, received in self._newest.items() if received.received_at < oldest]
         for name in silent:
             self.remove(name)
         return silent
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -204,7 +204,7 @@
             age=0.0,
             **fields,
         )
-        self.view.learn(feed, trio.current_time())
+        self.view.merge(feed, trio.current_time())
         if feed.limits is not None:
             self.table.limits.learn(feed.limits.reports)
         self.table.refresh(trio.current_time())
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -56,7 +56,7 @@
         ]
         steering.change_items(ChangeItems(now_ms=0, items=items))
         self.view = ClusterView()
-        self.view.learn(
+        self.view.merge(
             Feed(
                 life="l",
                 order=1,
@@ -147,7 +147,7 @@
     subject = RouterUnderTest([registration("n", "north-a", slots=1), registration("s", "south-a")])
     demand = [RegionDemand("north", "s", 0.1), RegionDemand("south", "s", 0.1)]
     feed = Feed(life="l", order=1, image=SteeringImage(), age=0.0, demand=demand)
-    subject.view.learn(feed, trio.current_time())
+    subject.view.merge(feed, trio.current_time())
     assert await remote_fraction_after(subject, 60.0) == 0.0
     held = subject.table.get("n")
     held.in_flight = 2
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -48,7 +48,7 @@
     """Return a view with the given peer gateways, each at its name and port 9."""
     view = ClusterView()
     roster = Roster(version=1, serving=peers(*names))
-    view.learn(
+    view.merge(
         Feed(life="k", order=0, image=SteeringImage(), age=0.0, roster=roster), float("-inf")
     )
     return view
--- a/tests/gateway/test_stale_configuration.py
+++ b/tests/gateway/test_stale_configuration.py
@@ -78,7 +78,7 @@
         self._changed = trio.Event()
 
     @property
-    def covered_at(self):
+    def current_as_of(self):
         return trio.current_time()
 
     async def wait_steering(self, revision):
@@ -199,7 +199,7 @@
 
 async def wait_until_covered(control) -> None:
     """Wait until the replica's state has been confirmed once."""
-    while control.runner.covered_at == float("-inf"):
+    while control.runner.current_as_of == float("-inf"):
         await trio.sleep(0.01)
 
 
@@ -239,7 +239,7 @@
                 await trio.sleep(0.5)
                 view = ClusterView()
                 answer = await control.handle(Subscribe(beat=BEAT, revision=0), "g")
-                view.learn(answer, trio.current_time())
+                view.merge(answer, trio.current_time())
                 assert view.steering.catalog.match("a.example", "/old/1") is not None
                 assert not view.is_ready
                 nursery.cancel_scope.cancel()
@@ -260,11 +260,11 @@
             await control.runner.wait_steering(0)
             await wait_until_covered(control)
             view = ClusterView()
-            asked_at = trio.current_time()
+            requested_at = trio.current_time()
             answer = await control.handle(Subscribe(beat=BEAT, revision=0), "g")
-            view.learn(answer, trio.current_time(), asked_at)
+            view.merge(answer, trio.current_time(), requested_at)
             assert view.is_ready is ready
-            assert age <= asked_at - view.covered_at <= age + 0.5
+            assert age <= requested_at - view.current_as_of <= age + 0.5
 
     trio.run(check)
 
@@ -321,7 +321,7 @@
 def test_transit_time_adds_to_the_age_of_an_answer():
     view = ClusterView()
     answer = Feed(life="l", order=0, image=SteeringImage(), age=0.2, held=0.6)
-    view.learn(answer, now=13.0, asked_at=10.0)
-    assert view.covered_at == pytest.approx(10.0 + 0.6 - 0.2)
-    view.learn(answer, now=13.1, asked_at=9.0)
-    assert view.covered_at == pytest.approx(10.4)
+    view.merge(answer, now=13.0, requested_at=10.0)
+    assert view.current_as_of == pytest.approx(10.0 + 0.6 - 0.2)
+    view.merge(answer, now=13.1, requested_at=9.0)
+    assert view.current_as_of == pytest.approx(10.4)
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -57,10 +57,10 @@
     async def check(machine):
         view = ClusterView()
         feed = Feed(life="l", order=0, image=SteeringImage(), age=0.0)
-        view.learn(feed, trio.current_time(), trio.current_time())
-        assert view.knows_all_until(trio.current_time() - 2.5)
+        view.merge(feed, trio.current_time(), trio.current_time())
+        assert view.is_current_as_of(trio.current_time() - 2.5)
         machine.suspended += 5.0
-        assert not view.knows_all_until(trio.current_time() - 2.5)
+        assert not view.is_current_as_of(trio.current_time() - 2.5)
 
     play(check)
 
@@ -84,7 +84,7 @@
 def test_a_replica_that_wakes_tells_how_old_its_state_is():
     async def check(machine):
         runner = IdleRunner()
-        runner.covered_at = trio.current_time()
+        runner.current_as_of = trio.current_time()
         desk = FeedServer(runner, None, 1.5)
         heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="", zone="z", region="r")
         machine.suspended += 5.0
--- a/tests/unit/test_feed_server.py
+++ b/tests/unit/test_feed_server.py
@@ -31,7 +31,7 @@
     def __init__(self):
         self.core = IdleCore()
         self.machine = IdleMachine()
-        self.covered_at = float("-inf")
+        self.current_as_of = float("-inf")
 
     async def wait_steering(self, revision):
         await trio.sleep_forever()
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -59,7 +59,7 @@
     for order, born in enumerate((FIRST, SECOND)):
         upstreams = [UpstreamHeartbeat(heartbeat(50 + order, born), 0.0)]
         feed = Feed(life="k", order=order, image=steering.image(), age=0.0, upstreams=upstreams)
-        view.learn(feed, float(order))
+        view.merge(feed, float(order))
         table.refresh(float(order))
         states.append(table.states())
     assert states == [{"gone": 1}, {"in use": 1}]
@@ -141,7 +141,7 @@
     for order, born in enumerate((FIRST, SECOND)):
         upstreams = [UpstreamHeartbeat(heartbeat(1, born), 0.0)]
         feed = Feed(life="k", order=order, image=SteeringImage(), age=0.0, upstreams=upstreams)
-        view.learn(feed, float(order))
+        view.merge(feed, float(order))
         table.refresh(float(order))
         record = table.get("i")
         record.note_warm_key("k", float(order))
@@ -161,8 +161,8 @@
     feed = Feed(
         life="k", order=1, image=SteeringImage(), age=0.0, upstreams=upstreams, roster=roster
     )
-    view.learn(feed, 1.0)
+    view.merge(feed, 1.0)
     assert view.is_silent(heartbeat(1, FIRST).incarnation)
     assert not view.is_silent(heartbeat(1, SECOND).incarnation)
-    view.forget_silent(100.0)
+    view.remove_silent(100.0)
     assert view.registry.get("i") is not None
--- a/tests/unit/test_registry.py
+++ b/tests/unit/test_registry.py
@@ -73,7 +73,7 @@
     assert registry.record(registration("c", 2, state=UpstreamState.DRAINING), 2.1)
     assert registry.record(registration("a", 2, zone="y"), 2.2)
     assert [heard.registration.instance for heard in registry.since(mark)] == ["c", "a"]
-    assert registry.get("b").heard_at == 2.0
+    assert registry.get("b").received_at == 2.0
 
 
 def test_only_a_new_end_of_the_cold_start_is_a_change():
@@ -98,7 +98,7 @@
 def test_silent_upstreams_are_removed():
     registry = Registry(10.0)
     registry.record(registration(), 1.0)
-    assert registry.forget_silent(11.5) == ["i"]
+    assert registry.remove_silent(11.5) == ["i"]
     assert len(registry) == 0
 
 
@@ -188,11 +188,11 @@
     steering.change_items(change(service(), route()))
     view = ClusterView()
     assert not view.is_ready
-    assert view.learn(feed(image=steering.image()), 10.0)
-    assert not view.learn(feed(), 11.0)
+    assert view.merge(feed(image=steering.image()), 10.0)
+    assert not view.merge(feed(), 11.0)
     assert view.is_ready
-    view.learn(feed(upstreams=[UpstreamHeartbeat(registration(), 2.0)]), 12.0)
-    assert view.registry.get("i").heard_at == 10.0
+    view.merge(feed(upstreams=[UpstreamHeartbeat(registration(), 2.0)]), 12.0)
+    assert view.registry.get("i").received_at == 10.0
 
 
 def peers(*names):
@@ -205,12 +205,12 @@
 
 def test_gateways_are_those_that_any_fresh_replica_lists():
     view = ClusterView()
-    view.learn(feed(life="k", roster=roster(serving=peers("a", "b"))), 1.0)
-    view.learn(feed(life="l", roster=roster(serving=peers("b", "c"))), 1.5)
+    view.merge(feed(life="k", roster=roster(serving=peers("a", "b"))), 1.0)
+    view.merge(feed(life="l", roster=roster(serving=peers("b", "c"))), 1.5)
     assert view.serving == ("a", "b", "c")
     assert view.peers == {"a": "a:9", "b": "b:9", "c": "c:9"}
     assert (view.roster_version("k"), view.roster_version("m")) == (1, 0)
-    view.learn(feed(life="l"), 3.5)
+    view.merge(feed(life="l"), 3.5)
     assert view.serving == ("b", "c")
     assert view.roster_version("k") == 0
 
@@ -218,7 +218,7 @@
 def test_the_last_reports_stay_in_use_when_control_is_lost():
     view = ClusterView()
     demand = [RegionDemand("north", "s", 5.0)]
-    view.learn(feed(roster=roster(serving=peers("a", "b")), demand=demand), 1.0)
+    view.merge(feed(roster=roster(serving=peers("a", "b")), demand=demand), 1.0)
     assert (view.serving, view.demand) == (("a", "b"), demand)
     assert view.serving_count(500.0) == 2
 
@@ -226,8 +226,8 @@
 def test_the_serving_count_is_the_recent_maximum():
     view = ClusterView()
     assert view.serving_count(0.0) == 1
-    view.learn(feed(life="k", roster=roster(serving=peers("a", "b", "c"))), 1.0)
-    view.learn(feed(life="l", roster=roster(serving=peers("a"))), 4.0)
+    view.merge(feed(life="k", roster=roster(serving=peers("a", "b", "c"))), 1.0)
+    view.merge(feed(life="l", roster=roster(serving=peers("a"))), 4.0)
     assert view.serving == ("a",)
     assert view.serving_count(5.0) == 3
     assert view.serving_count(15.0) == 1
@@ -237,43 +237,43 @@
     view = ClusterView()
     few = [RegionDemand("north", "s", 1.0)]
     most = [RegionDemand("north", "s", 5.0)]
-    view.learn(feed(life="k", roster=roster(serving=peers("a", "b")), demand=most), 1.0)
-    view.learn(feed(life="l", roster=roster(serving=peers("a")), demand=few), 1.5)
+    view.merge(feed(life="k", roster=roster(serving=peers("a", "b")), demand=most), 1.0)
+    view.merge(feed(life="l", roster=roster(serving=peers("a")), demand=few), 1.5)
     assert view.demand == most
 
 
 def test_an_upstream_is_silent_when_all_fresh_replicas_report_it():
     view = ClusterView()
-    view.learn(feed(upstreams=[UpstreamHeartbeat(registration(), 0.0)]), 1.0)
-    view.learn(feed(life="k", roster=roster(silent=["i"])), 1.0)
-    view.learn(feed(life="l", roster=roster(silent=[])), 1.5)
+    view.merge(feed(upstreams=[UpstreamHeartbeat(registration(), 0.0)]), 1.0)
+    view.merge(feed(life="k", roster=roster(silent=["i"])), 1.0)
+    view.merge(feed(life="l", roster=roster(silent=[])), 1.5)
     assert not view.is_silent("i")
-    view.learn(feed(life="l", roster=roster(2, silent=["i"])), 2.0)
+    view.merge(feed(life="l", roster=roster(2, silent=["i"])), 2.0)
     assert view.is_silent("i")
     changes = view.changes
-    view.learn(feed(life="l", roster=roster(3, silent=[])), 2.5)
+    view.merge(feed(life="l", roster=roster(3, silent=[])), 2.5)
     assert not view.is_silent("i")
     assert view.changes > changes
 
 
 def test_an_upstream_that_stays_silent_is_removed():
     view = ClusterView()
-    view.learn(feed(upstreams=[UpstreamHeartbeat(registration(), 0.0)]), 1.0)
-    view.learn(feed(roster=roster(silent=["i"])), 2.0)
-    view.forget_silent(31.0)
+    view.merge(feed(upstreams=[UpstreamHeartbeat(registration(), 0.0)]), 1.0)
+    view.merge(feed(roster=roster(silent=["i"])), 2.0)
+    view.remove_silent(31.0)
     assert view.registry.get("i") is not None
-    view.forget_silent(33.0)
+    view.remove_silent(33.0)
     assert view.registry.get("i") is None
 
 
 def test_an_unconfirmed_roster_only_adds_replicas():
     view = ClusterView()
-    view.learn(
+    view.merge(
         feed(roster=roster(replicas=[ReplicaAddress("a", "a:1"), ReplicaAddress("b", "b:1")])), 1.0
     )
-    view.learn(feed(roster=roster(2, replicas=[ReplicaAddress("c", "c:1")]), age=inf), 2.0)
+    view.merge(feed(roster=roster(2, replicas=[ReplicaAddress("c", "c:1")]), age=inf), 2.0)
     assert sorted(view.replicas) == ["a", "b", "c"]
-    view.learn(feed(roster=roster(3, replicas=[ReplicaAddress("c", "c:1")])), 3.0)
+    view.merge(feed(roster=roster(3, replicas=[ReplicaAddress("c", "c:1")])), 3.0)
     assert sorted(view.replicas) == ["c"]
 
 
@@ -281,11 +281,11 @@
     steering = Steering()
     steering.change_items(change(service(), route()))
     view = ClusterView()
-    view.learn(feed(image=steering.image(), age=inf), 10.0)
+    view.merge(feed(image=steering.image(), age=inf), 10.0)
     assert not view.is_ready
-    view.learn(feed(age=inf), 13.5)
+    view.merge(feed(age=inf), 13.5)
     assert view.is_ready
     other = ClusterView()
-    other.learn(feed(image=steering.image(), age=inf), 10.0)
-    other.learn(feed(), 10.1)
+    other.merge(feed(image=steering.image(), age=inf), 10.0)
+    other.merge(feed(), 10.1)
     assert other.is_ready
