--- a/src/finchway/control/_replica_set.py
+++ b/src/finchway/control/_replica_set.py
@@ -18,11 +18,11 @@
 class ReplicaSetPlanner:
     """Collects join requests and picks the next change of the replica set; runs on the leader."""
 
-    __slots__ = ("_joiners", "_open_to")
+    __slots__ = ("_joiners", "_auto_join_voters")
 
-    def __init__(self, open_to: int = 0) -> None:
-        """`open_to` is the number of voters up to which any replica may join; 0 disables it."""
-        self._open_to = open_to
+    def __init__(self, auto_join_voters: int = 0) -> None:
+        """Any replica may join up to `auto_join_voters` voters; 0 disables it."""
+        self._auto_join_voters = auto_join_voters
         self._joiners: dict[str, Member] = {}
 
     @property
@@ -40,10 +40,10 @@
             if core.members.is_voter(joiner.id):
                 del self._joiners[joiner.name]
                 continue
-            changed = _admit(joiner, core, self._open_to > 0)
+            changed = _admit(joiner, core, self._auto_join_voters > 0)
             if changed is not None:
                 return changed
-        return _promote(core, self._open_to)
+        return _promote(core, self._auto_join_voters)
 
 
 def with_expected(members: Members, name: str) -> Members:
--- a/src/finchway/control/_server.py
+++ b/src/finchway/control/_server.py
@@ -77,7 +77,7 @@
         lease: LeaseTiming,
         loans: LoanTiming,
         platform: PlatformSource | None,
-        open_to: int = 0,
+        auto_join_voters: int = 0,
         upstream_heartbeat: float = 1.5,
     ) -> None:
         self._runner = runner
@@ -87,9 +87,9 @@
         self._loans = loans
         self._platform = platform
         self._coordinator: Coordinator | None = None
-        self._open_to = open_to
+        self._auto_join_voters = auto_join_voters
         self._started_at = trio.current_time()
-        self._replicas = ReplicaSetPlanner(open_to)
+        self._replicas = ReplicaSetPlanner(auto_join_voters)
         self._feed = FeedServer(runner, link, upstream_heartbeat)
         self._seen_revision = -1
 
@@ -234,7 +234,10 @@
         A smaller set tolerates fewer failures than the deployment was planned for.
         """
         age = trio.current_time() - self._started_at
-        if age < FORMATION_TIMEOUT_S and len(self._runner.core.members.voters) < self._open_to:
+        if (
+            age < FORMATION_TIMEOUT_S
+            and len(self._runner.core.members.voters) < self._auto_join_voters
+        ):
             raise UnavailableError("the replica set is still forming")
 
     def _record_join(self, join: Join) -> None:
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -91,7 +91,7 @@
         await self._control.confirm()
         return self._control.runner.machine.steering.catalog.standing()
 
-    async def hear(self, registration: Registration) -> None:
+    async def record_heartbeat(self, registration: Registration) -> None:
         """Record an upstream's heartbeat; a draining state is committed before it returns.
 
         Raises `ResourceError` for an invalid heartbeat.
@@ -159,7 +159,7 @@
         if findings:
             raise ResourceError(findings, "heartbeat")
 
-    def note_refused(self, call: str, error: FinchwayError) -> None:
+    def record_refused(self, call: str, error: FinchwayError) -> None:
         """Count an invalid call; log it at a limited rate."""
         self._metrics.count_refused(call)
         now = trio.current_time()
--- a/src/finchway/control/_steering_api.py
+++ b/src/finchway/control/_steering_api.py
@@ -100,7 +100,7 @@
         try:
             return await self._change(method, parts, body)
         except InputError as error:
-            self._service.note_refused(parts[0] if parts else "", error)
+            self._service.record_refused(parts[0] if parts else "", error)
             raise
 
     async def _change(self, method: str, parts: list[str], body: bytes) -> Any:
@@ -116,7 +116,7 @@
                 named = (
                     document | {"instance": instance} if isinstance(document, dict) else document
                 )
-                await self._service.hear(_convert(named, Registration, "body"))
+                await self._service.record_heartbeat(_convert(named, Registration, "body"))
                 return {"instance": instance}
             case "POST", ["suspects", request, "release"]:
                 await self._service.release(request)
--- a/src/finchway/registry/__init__.py
+++ b/src/finchway/registry/__init__.py
@@ -1,7 +1,7 @@
 """Upstreams registered by heartbeat, and the marks of those that are draining or gone."""
 
 from finchway.registry._addresses import AddressOwners
-from finchway.registry._check import LARGEST_COUNT, check_registration
+from finchway.registry._check import MAX_COUNT, check_registration
 from finchway.registry._registry import ReceivedHeartbeat, Registry
 from finchway.registry._upstream import (
     Mark,
@@ -12,7 +12,7 @@
 )
 
 __all__ = [
-    "LARGEST_COUNT",
+    "MAX_COUNT",
     "AddressOwners",
     "ReceivedHeartbeat",
     "Mark",
--- a/src/finchway/registry/_check.py
+++ b/src/finchway/registry/_check.py
@@ -11,7 +11,7 @@
 MAX_NAME_CHARS = 256
 MAX_SLOTS = 10_000
 # The largest integer that every JSON parser represents exactly.
-LARGEST_COUNT = 2**53 - 1
+MAX_COUNT = 2**53 - 1
 MAX_COLD_S = 3_600.0
 _ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
 
@@ -29,8 +29,8 @@
     if not 0 < registration.slots <= MAX_SLOTS:
         findings.append(Finding("slots", f"must be 1 to {MAX_SLOTS}"))
     for place in ("sequence", "born"):
-        if not 0 <= getattr(registration, place) <= LARGEST_COUNT:
-            findings.append(Finding(place, f"must be 0 to {LARGEST_COUNT}"))
+        if not 0 <= getattr(registration, place) <= MAX_COUNT:
+            findings.append(Finding(place, f"must be 0 to {MAX_COUNT}"))
     if not (math.isfinite(registration.cold_for) and 0 <= registration.cold_for <= MAX_COLD_S):
         findings.append(Finding("cold_for", f"must be 0 to {MAX_COLD_S:g} s"))
     return findings
--- a/tests/unit/test_steering_log.py
+++ b/tests/unit/test_steering_log.py
@@ -42,7 +42,7 @@
 def test_a_late_heartbeat_is_logged():
     async def script(service):
         for name, sequence in (("old", 1), ("new", 1), ("old", 7)):
-            await service.hear(registration(name, sequence))
+            await service.record_heartbeat(registration(name, sequence))
 
     assert play(script) == [("upstream/old", "heartbeat 7 came late and is passed over")]
 
