--- a/bench/control.py
+++ b/bench/control.py
@@ -77,7 +77,7 @@
         for name in names:
             storage = Storage(folder / f"{size}-{delay_ms}-{name}")
             storage.open()
-            storage.snapshot(Snapshot(1, 1, members, b""))
+            storage.save_snapshot(Snapshot(1, 1, members, b""))
             storage.close()
             runner = ReplicaRunner(
                 Identity("bench", name, "1"),
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -155,17 +155,21 @@
     coordinator = Coordinator(machine, 0.0)
     revision = machine.revision
     for number in range(ENTRIES):
-        coordinator.answer(heartbeat(number, 1, revision), 0.1)
+        coordinator.handle_heartbeat(heartbeat(number, 1, revision), 0.1)
     for command in coordinator.plan(0.2, 200):
         machine.apply(command)
     for command in coordinator.plan(0.3, 300):
         machine.apply(command)
     shares = len(machine.store.of_kind("share"))
     revision = machine.revision
-    first = timed(lambda n: coordinator.answer(heartbeat(n, 2, revision, 1), 20.0), ENTRIES)
-    steady = timed(lambda n: coordinator.answer(heartbeat(n, 3, revision, 2), 20.2), ENTRIES)
+    first = timed(
+        lambda n: coordinator.handle_heartbeat(heartbeat(n, 2, revision, 1), 20.0), ENTRIES
+    )
+    steady = timed(
+        lambda n: coordinator.handle_heartbeat(heartbeat(n, 3, revision, 2), 20.2), ENTRIES
+    )
     plan = timed(lambda n: coordinator.plan(20.3, 20_300), 5)
-    reply = coordinator.answer(heartbeat(0, 4, revision, 3), 20.4, with_changes=False)
+    reply = coordinator.handle_heartbeat(heartbeat(0, 4, revision, 3), 20.4, with_changes=False)
     return [
         ["shares", str(shares)],
         ["answering a heartbeat", f"{steady:.0f} us ({first:.0f} us after a new revision)"],
--- a/bench/surroundings.py
+++ b/bench/surroundings.py
@@ -132,11 +132,11 @@
             await trio.sleep_forever()
         match body:
             case Heartbeat():
-                return self.coordinator.answer(body, trio.current_time())
+                return self.coordinator.handle_heartbeat(body, trio.current_time())
             case HeartbeatBatch(heartbeats=heartbeats):
                 now = trio.current_time()
                 answers = [
-                    self.coordinator.answer(h, now, index == 0)
+                    self.coordinator.handle_heartbeat(h, now, index == 0)
                     for index, h in enumerate(heartbeats)
                 ]
                 return HeartbeatBatchReply(replies=answers)
--- a/src/finchway/control/_bootstrap.py
+++ b/src/finchway/control/_bootstrap.py
@@ -67,7 +67,7 @@
     members = Members((identity.member(address),), (), others)
     storage = Storage(folder / "log")
     storage.open()
-    storage.snapshot(Snapshot(_FIRST_INDEX, _FIRST_TERM, members, machine.snapshot()))
+    storage.save_snapshot(Snapshot(_FIRST_INDEX, _FIRST_TERM, members, machine.snapshot()))
     storage.close()
     return Bootstrapped(identity.cluster, name, FIRST_OPERATOR, credential)
 
@@ -86,6 +86,6 @@
     identity = create_identity(folder, name, cluster, FOUNDER_INCARNATION)
     storage = Storage(folder / "log")
     storage.open()
-    storage.snapshot(Snapshot(_FIRST_INDEX, _FIRST_TERM, members, StateMachine().snapshot()))
+    storage.save_snapshot(Snapshot(_FIRST_INDEX, _FIRST_TERM, members, StateMachine().snapshot()))
     storage.close()
     return identity
--- a/src/finchway/control/_replica.py
+++ b/src/finchway/control/_replica.py
@@ -222,7 +222,7 @@
         others = [v for v in self._core.members.voters if v.id != self._core.id]
         if not others:
             return None
-        target = max(others, key=lambda member: self._core.match_of(member.id))
+        target = max(others, key=lambda member: self._core.match_index_of(member.id))
         self._core.transfer(target.id)
         self._wake.set()
         return target.id
@@ -246,7 +246,7 @@
             digest=self._machine.digest(),
             leader=core.leader or "",
             members=core.members,
-            matches={i: core.match_of(i) for i in ids} if core.is_leader else {},
+            matches={i: core.match_index_of(i) for i in ids} if core.is_leader else {},
         )
 
     async def run(self) -> None:
@@ -371,7 +371,7 @@
         members = self._core.members_at(index)
         snapshot = Snapshot(index, term or 0, members, self._machine.snapshot())
         started = time.perf_counter()
-        await trio.to_thread.run_sync(self._storage.snapshot, snapshot)
+        await trio.to_thread.run_sync(self._storage.save_snapshot, snapshot)
         self._core.compact(snapshot)
         detail = f"{len(snapshot.data)} bytes in {time.perf_counter() - started:.3f} s"
         self._timeline.record(EventKind.SNAPSHOT_TAKEN, f"index {index}", detail)
@@ -383,7 +383,7 @@
         """
         while True:
             voter = self._core.members.is_voter(self._core.id)
-            if not voter or not self._core.heard_leader_within(REJOIN_AFTER_S):
+            if not voter or not self._core.had_leader_contact_within(REJOIN_AFTER_S):
                 members = self._core.members
                 known = [m.address for m in members.voters + members.learners]
                 for peer in sorted({*known, *self._peers()} - {"", self._member.address}):
--- a/src/finchway/control/_replica_set.py
+++ b/src/finchway/control/_replica_set.py
@@ -74,7 +74,7 @@
     same_name = [m for m in members.voters + members.learners if m.name == joiner.name]
     if not same_name and joiner.name not in members.expected and not is_open:
         return None
-    if not is_open and any(core.silent_for(m.id) < SILENT_AFTER_S for m in same_name):
+    if not is_open and any(core.seconds_since_reply(m.id) < SILENT_AFTER_S for m in same_name):
         return None
     learners = tuple(m for m in members.learners if m.name != joiner.name)
     return replace(members, learners=(*learners, joiner))
@@ -91,7 +91,7 @@
             continue
         old = [v for v in members.voters if v.name == learner.name]
         if not old and max_voters and len(members.voters) >= max_voters:
-            old = [v for v in members.voters if core.silent_for(v.id) >= REPLACE_AFTER_S]
+            old = [v for v in members.voters if core.seconds_since_reply(v.id) >= REPLACE_AFTER_S]
             if not old:
                 continue
         if old:
@@ -106,6 +106,6 @@
 
 
 def _has_caught_up(core: Core, learner: Member) -> bool:
-    match = core.match_of(learner.id)
-    is_live = core.silent_for(learner.id) < SILENT_AFTER_S
+    match = core.match_index_of(learner.id)
+    is_live = core.seconds_since_reply(learner.id) < SILENT_AFTER_S
     return is_live and match > 0 and match + CAUGHT_UP_MAX_LAG >= core.last_index
--- a/src/finchway/control/_server.py
+++ b/src/finchway/control/_server.py
@@ -217,7 +217,7 @@
 
     def _on_heartbeat(self, heartbeat: Heartbeat, with_changes: bool = True) -> HeartbeatReply:
         coordinator = self._confirmed_coordinator()
-        return coordinator.answer(heartbeat, trio.current_time(), with_changes)
+        return coordinator.handle_heartbeat(heartbeat, trio.current_time(), with_changes)
 
     def _confirmed_coordinator(self) -> Coordinator:
         """Return the coordinator; raises unless a quorum has confirmed this leader recently."""
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -209,7 +209,7 @@
             ReplicaState(
                 is_leader=runner.is_leader,
                 covered_age_s=round(now - runner.current_as_of, 3),
-                hears_leader=runner.core.heard_leader_within(LEADER_TIMEOUT_S),
+                hears_leader=runner.core.had_leader_contact_within(LEADER_TIMEOUT_S),
                 voters=len(runner.core.members.voters),
                 applied=runner.applied,
                 revision=runner.machine.steering.revision,
@@ -218,7 +218,7 @@
                 gateways=len(feed.gateways.live(now)),
                 log_lines_dropped=self._decisions.writer.dropped,
                 suspects=len(runner.machine.steering.suspects),
-                suspects_dropped=runner.machine.steering.suspects.dropped,
+                suspects_dropped=runner.machine.steering.suspects.evicted,
             )
         )
 
--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -46,8 +46,8 @@
     Timing,
     create_identity,
     load_identity,
-    quarantine,
     require_identity,
+    set_aside_damaged_folder,
 )
 from finchway.surface import Surface
 from finchway.transport import (
@@ -201,7 +201,7 @@
         except StorageDamagedError as error:
             if not others:
                 raise
-            aside = quarantine(folder)
+            aside = set_aside_damaged_folder(folder)
             _LOG.error("%s; it is kept as %s, and this replica joins anew", error, aside)
         founders = dict(settings.founders)
         if settings.founding and settings.instance in founders:
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -22,8 +22,8 @@
 from finchway.gateway._table import UpstreamTable
 from finchway.gateway._task import Task
 from finchway.state import (
-    QUARANTINE_AFTER,
-    QUARANTINED_FOR_MS,
+    QUARANTINE_DURATIONS_MS,
+    QUARANTINE_THRESHOLD,
     RequestReport,
     Suspect,
     SuspectState,
@@ -103,7 +103,7 @@
         crashes = task.evidence.known = max(local, shared.ends if shared else 0)
         if shared is not None and shared.state is SuspectState.QUARANTINED:
             return Clearance.REFUSED
-        if local >= QUARANTINE_AFTER and (shared is None or local > shared.ends):
+        if local >= QUARANTINE_THRESHOLD and (shared is None or local > shared.ends):
             # The replicas have not confirmed the latest crash yet.
             return Clearance.REFUSED
         return Clearance.ONCE if crashes else Clearance.FREE
@@ -124,7 +124,7 @@
     def retry_after(self, task: Task) -> float:
         """Return the seconds after which a refused request may be sent again."""
         shared = self._shared_suspect(task)
-        default = QUARANTINED_FOR_MS[0] / 1000
+        default = QUARANTINE_DURATIONS_MS[0] / 1000
         if shared is None or shared.state is not SuspectState.QUARANTINED:
             return default
         return max(MIN_RETRY_AFTER_S, shared.until_ms / 1000 - WALL.now())
@@ -239,7 +239,7 @@
             del self._local_evidence[next(iter(self._local_evidence))]
         self._log.note_crash(task, record, evidence.crashes)
         self._report_crashes(task)
-        if evidence.crashes >= QUARANTINE_AFTER:
+        if evidence.crashes >= QUARANTINE_THRESHOLD:
             self._cancel_quarantined({task.fingerprint})
 
     def _report_crashes(self, task: Task) -> None:
--- a/src/finchway/membership/_coordinator.py
+++ b/src/finchway/membership/_coordinator.py
@@ -94,7 +94,9 @@
         """The lender of slots and its outstanding loans."""
         return self._lender
 
-    def answer(self, heartbeat: Heartbeat, now: float, with_changes: bool = True) -> HeartbeatReply:
+    def handle_heartbeat(
+        self, heartbeat: Heartbeat, now: float, with_changes: bool = True
+    ) -> HeartbeatReply:
         """Answer a heartbeat with the revision, missing changes, lease, loans and rates.
 
         The caller must have confirmed the leadership with a quorum just before.
@@ -145,13 +147,13 @@
         store, registry = self._store, self._registry
         commands += plan_marks(store, registry, now, now_ms)
         commands += plan_drains(store, registry, now, now_ms)
-        commands += plan_moves(self._machine, registry, self.in_force(now), now_ms)
+        commands += plan_moves(self._machine, registry, self.min_applied_revision(now), now_ms)
         if now >= self._expire_at:
             self._expire_at = now + EXPIRE_INTERVAL_S
             commands.append(Expire(now_ms=now_ms))
         return commands
 
-    def in_force(self, now: float) -> int:
+    def min_applied_revision(self, now: float) -> int:
         """Return the highest revision that all entries which may serve have applied.
 
         Silent entries are not counted, since their leases have expired.
--- a/src/finchway/membership/_plans.py
+++ b/src/finchway/membership/_plans.py
@@ -93,7 +93,7 @@
 
 
 def plan_moves(
-    machine: StateMachine, registry: HeartbeatRegistry, in_force: int, now_ms: int
+    machine: StateMachine, registry: HeartbeatRegistry, min_applied_revision: int, now_ms: int
 ) -> list[AnyCommand]:
     store = machine.store
     moves = store.of_kind("move")
@@ -114,7 +114,7 @@
             recent_percent=recent_percent(
                 pairs, move.spec.service, receiving_region, capacity.window_s, now_ms
             ),
-            in_force=in_force >= move.revision,
+            in_force=min_applied_revision >= move.revision,
             free_fraction=_free_capacity_fraction(
                 registry, move.spec.service, receiving_region, capacity.headroom
             ),
--- a/src/finchway/replication/__init__.py
+++ b/src/finchway/replication/__init__.py
@@ -9,8 +9,8 @@
     Identity,
     create_identity,
     load_identity,
-    quarantine,
     require_identity,
+    set_aside_damaged_folder,
 )
 from finchway.replication._messages import (
     AnyMessage,
@@ -23,8 +23,8 @@
     Message,
     Snapshot,
 )
-from finchway.replication._ready import Ready, Restored, RoleName, Timing
-from finchway.replication._storage import Files, Storage, decode_record, encode_record
+from finchway.replication._ready import RaftRole, Ready, Restored, Timing
+from finchway.replication._storage import FileOperations, Storage, decode_record, encode_record
 
 __all__ = [
     "AnyMessage",
@@ -32,7 +32,7 @@
     "Core",
     "Entry",
     "EntryKind",
-    "Files",
+    "FileOperations",
     "Identity",
     "InstallSnapshot",
     "Member",
@@ -40,7 +40,7 @@
     "Message",
     "Ready",
     "Restored",
-    "RoleName",
+    "RaftRole",
     "Snapshot",
     "Storage",
     "Timing",
@@ -48,6 +48,6 @@
     "decode_record",
     "encode_record",
     "load_identity",
-    "quarantine",
+    "set_aside_damaged_folder",
     "require_identity",
 ]
--- a/src/finchway/replication/_core.py
+++ b/src/finchway/replication/_core.py
@@ -22,7 +22,7 @@
 from finchway.replication._elections import ElectionMixin
 from finchway.replication._log import Log
 from finchway.replication._progress import Progress
-from finchway.replication._ready import Ready, Restored, RoleName, Timing
+from finchway.replication._ready import RaftRole, Ready, Restored, Timing
 
 
 class Core(ElectionMixin):
@@ -52,7 +52,7 @@
         self._taken_index = self._log.last_index
         self._stable = self._log.last_index
         self._members, self._members_index = self._log.members()
-        self._role = RoleName.FOLLOWER
+        self._role = RaftRole.FOLLOWER
         self._leader: str | None = None
         self._now = now
         self._leader_contact_at = float("-inf")
@@ -75,14 +75,14 @@
         return self._id
 
     @property
-    def role(self) -> RoleName:
+    def role(self) -> RaftRole:
         """The current Raft role."""
         return self._role
 
     @property
     def is_leader(self) -> bool:
         """Whether this replica is the leader of its current term."""
-        return self._role is RoleName.LEADER
+        return self._role is RaftRole.LEADER
 
     @property
     def leader(self) -> str | None:
@@ -114,7 +114,7 @@
         """The index of the last entry covered by the newest snapshot."""
         return self._log.first_index - 1
 
-    def match_of(self, replica: str) -> int:
+    def match_index_of(self, replica: str) -> int:
         """Return the highest index a follower has acknowledged; 0 unless this is the leader."""
         progress = self._progress.get(replica)
         return progress.match if progress else 0
@@ -127,12 +127,12 @@
         """Return the replica set that applies at `index`."""
         return self._log.members(index)[0]
 
-    def silent_for(self, replica: str) -> float:
+    def seconds_since_reply(self, replica: str) -> float:
         """Return the seconds since a follower last replied; 0 for a replica without progress."""
         progress = self._progress.get(replica)
         return self._now - progress.acked_at if progress else 0.0
 
-    def heard_leader_within(self, seconds: float) -> bool:
+    def had_leader_contact_within(self, seconds: float) -> bool:
         """Whether this replica leads, or received a message from the leader within `seconds`."""
         return self.is_leader or self._now - self._leader_contact_at < seconds
 
@@ -392,7 +392,7 @@
         if self._transfer is None:
             return
         target = self._transfer[0]
-        if self.match_of(target) == self._log.last_index:
+        if self.match_index_of(target) == self._log.last_index:
             self._send(m.TimeoutNow(**self._envelope(target)))
 
     # Follower
@@ -401,7 +401,7 @@
         if message.term < self._term:
             self._reply(message, success=False, match=0, hint=self._log.last_index)
             return False
-        if self._role is not RoleName.FOLLOWER or self._leader != message.sender:
+        if self._role is not RaftRole.FOLLOWER or self._leader != message.sender:
             self._become_follower(message.term, message.sender)
         self._leader_contact_at = self._now
         self._reset_election(self._now)
--- a/src/finchway/replication/_elections.py
+++ b/src/finchway/replication/_elections.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from finchway.replication import _messages as m
-from finchway.replication._ready import RoleName
+from finchway.replication._ready import RaftRole
 
 # Fraction of the election timeout before the first election after a start. Shortens the time
 # without a leader when all replicas restart. An existing leader sends its heartbeat earlier than
@@ -38,7 +38,7 @@
     def _become_follower(self, term: int, leader: str | None) -> None:
         if term > self._term:
             self._term, self._vote = term, ""
-        self._role = RoleName.FOLLOWER
+        self._role = RaftRole.FOLLOWER
         self._leader = leader
         self._progress = {}
         self._reads = []
@@ -48,7 +48,7 @@
     def _campaign(self, pre: bool, transfer: bool = False) -> None:
         self._reset_election(self._now)
         self._leader = None
-        self._role = RoleName.CANDIDATE
+        self._role = RaftRole.CANDIDATE
         self._pre_vote = pre
         self._votes = {self._id}
         term = self._term + 1
@@ -96,7 +96,7 @@
         )
 
     def _on_vote_reply(self, message: m.VoteReply) -> None:
-        if self._role is not RoleName.CANDIDATE or message.pre != self._pre_vote:
+        if self._role is not RaftRole.CANDIDATE or message.pre != self._pre_vote:
             return
         expected = self._term + 1 if message.pre else self._term
         if message.granted and message.term == expected:
@@ -104,7 +104,7 @@
             self._count_votes()
 
     def _become_leader(self) -> None:
-        self._role = RoleName.LEADER
+        self._role = RaftRole.LEADER
         self._leader = self._id
         self._progress = {}
         self._reads = []
--- a/src/finchway/replication/_identity.py
+++ b/src/finchway/replication/_identity.py
@@ -74,7 +74,7 @@
     return identity
 
 
-def quarantine(folder: Path) -> Path:
+def set_aside_damaged_folder(folder: Path) -> Path:
     """Rename a damaged data folder, so that the replica can rejoin with an empty one."""
     renamed = folder.with_name(f"{folder.name}.damaged-{uuid.uuid4().hex[:8]}")
     os.replace(folder, renamed)
--- a/src/finchway/replication/_ready.py
+++ b/src/finchway/replication/_ready.py
@@ -21,7 +21,7 @@
     batch: int = 256
 
 
-class RoleName(Enum):
+class RaftRole(Enum):
     """The Raft role of a replica."""
 
     FOLLOWER = "follower"
--- a/src/finchway/replication/_storage.py
+++ b/src/finchway/replication/_storage.py
@@ -38,7 +38,7 @@
     entries: list[m.Entry]
 
 
-class Files:
+class FileOperations:
     """The file operations of storage; tests replace them to inject faults."""
 
     def write(self, fd: int, data: bytes) -> None:
@@ -83,9 +83,9 @@
 class Storage:
     """The files of one replica in its data folder."""
 
-    def __init__(self, folder: Path, files: Files | None = None) -> None:
+    def __init__(self, folder: Path, files: FileOperations | None = None) -> None:
         self._folder = folder
-        self._files = files or Files()
+        self._files = files or FileOperations()
         self._fd: int | None = None
         self._batch = 0
         self._failed = False
@@ -141,7 +141,7 @@
                 error
             )
 
-    def snapshot(self, snapshot: m.Snapshot) -> None:
+    def save_snapshot(self, snapshot: m.Snapshot) -> None:
         """Save a snapshot and start a new log file with only the entries that follow it."""
         if self._failed:
             raise StorageError("storage has failed; the replica must be restarted")
--- a/src/finchway/state/__init__.py
+++ b/src/finchway/state/__init__.py
@@ -32,8 +32,8 @@
 from finchway.state._machine import StateMachine, encode_resource
 from finchway.state._steering import Evacuation, Steering, SteeringImage
 from finchway.state._suspects import (
-    QUARANTINE_AFTER,
-    QUARANTINED_FOR_MS,
+    QUARANTINE_DURATIONS_MS,
+    QUARANTINE_THRESHOLD,
     RequestReport,
     Suspect,
     Suspects,
@@ -41,8 +41,8 @@
 )
 
 __all__ = [
-    "QUARANTINED_FOR_MS",
-    "QUARANTINE_AFTER",
+    "QUARANTINE_DURATIONS_MS",
+    "QUARANTINE_THRESHOLD",
     "Accepted",
     "AnyCommand",
     "AnyResult",
--- a/src/finchway/state/_suspects.py
+++ b/src/finchway/state/_suspects.py
@@ -16,12 +16,12 @@
 
 # Consecutive crashes before a request is quarantined. Fewer may be coincidence, since a crash
 # affects all requests in flight at the upstream.
-QUARANTINE_AFTER = 3
+QUARANTINE_THRESHOLD = 3
 # Time after which a suspicion lapses without a further crash.
 SUSPICION_MS = 60_000
 # Duration of the first, second, ... quarantine of a request. The first is short, in case the
 # upstreams were at fault. Later ones are long, since each trial may crash another upstream.
-QUARANTINED_FOR_MS = (60_000, 600_000, 3_600_000, 86_400_000)
+QUARANTINE_DURATIONS_MS = (60_000, 600_000, 3_600_000, 86_400_000)
 # Maximum number of quarantined requests. With more, the upstreams themselves are likely at fault.
 MAX_QUARANTINED = 32
 # Limits the size of the table, which each gateway receives in full when it connects.
@@ -83,7 +83,7 @@
 
     def __init__(self, held: list[Suspect] = ()) -> None:
         self._held = {suspect.request: suspect for suspect in held}
-        self._dropped = 0
+        self._evicted = 0
 
     def __len__(self) -> int:
         return len(self._held)
@@ -97,9 +97,9 @@
         return list(self._held.values())
 
     @property
-    def dropped(self) -> int:
+    def evicted(self) -> int:
         """The number of suspects that this copy has evicted because the table was full."""
-        return self._dropped
+        return self._evicted
 
     def get(self, request: str) -> Suspect | None:
         """Return the record of a request, or None."""
@@ -148,7 +148,7 @@
         for suspect in due:
             match suspect.state:
                 case SuspectState.QUARANTINED:
-                    until_ms = now_ms + QUARANTINED_FOR_MS[-1]
+                    until_ms = now_ms + QUARANTINE_DURATIONS_MS[-1]
                     state = SuspectState.ON_TRIAL
                     self.put(replace(suspect, revision=revision, state=state, until_ms=until_ms))
                     changed = True
@@ -161,9 +161,11 @@
     def _quarantine_if_due(self, suspect: Suspect, now_ms: int) -> Suspect:
         """Quarantine a request at the crash threshold, unless too many are quarantined."""
         quarantined = sum(s.state is SuspectState.QUARANTINED for s in self._held.values())
-        if suspect.ends < QUARANTINE_AFTER or quarantined >= MAX_QUARANTINED:
+        if suspect.ends < QUARANTINE_THRESHOLD or quarantined >= MAX_QUARANTINED:
             return replace(suspect, until_ms=now_ms + SUSPICION_MS)
-        wait_ms = QUARANTINED_FOR_MS[min(suspect.quarantines, len(QUARANTINED_FOR_MS) - 1)]
+        wait_ms = QUARANTINE_DURATIONS_MS[
+            min(suspect.quarantines, len(QUARANTINE_DURATIONS_MS) - 1)
+        ]
         return replace(
             suspect,
             state=SuspectState.QUARANTINED,
@@ -177,7 +179,7 @@
             return
         evicted = min(self._held.values(), key=_eviction_rank)
         del self._held[evicted.request]
-        self._dropped += 1
+        self._evicted += 1
 
 
 def _eviction_rank(suspect: Suspect) -> tuple[int, int]:
--- a/tests/raft.py
+++ b/tests/raft.py
@@ -14,7 +14,7 @@
     Core,
     Entry,
     EntryKind,
-    Files,
+    FileOperations,
     Member,
     Members,
     Restored,
@@ -31,7 +31,7 @@
     """Simulates a crash of the replica's process."""
 
 
-class FaultyFiles(Files):
+class FaultyFiles(FileOperations):
     """File operations that crash the process at a given step, with a torn write if set."""
 
     def __init__(self) -> None:
@@ -107,7 +107,7 @@
             self.nodes[member.id] = node
             storage = self.storage_type(node.folder)
             storage.open()
-            storage.snapshot(Snapshot(1, 1, Members(members), b""))
+            storage.save_snapshot(Snapshot(1, 1, Members(members), b""))
             storage.close()
             self.start(node)
 
@@ -247,7 +247,7 @@
         members = core.members_at(index)
         snapshot = Snapshot(index, core.term_at(index), members, _encode(node.applied))
         try:
-            node.storage.snapshot(snapshot)
+            node.storage.save_snapshot(snapshot)
         except (CrashError, StorageError):
             self.crash(node)
             return
--- a/tests/unit/test_replication.py
+++ b/tests/unit/test_replication.py
@@ -12,7 +12,7 @@
 
 from finchway.control._replica_set import ReplicaSetPlanner
 from finchway.exceptions import ConflictError
-from finchway.replication import Core, Member, Members, Restored, RoleName, Snapshot
+from finchway.replication import Core, Member, Members, RaftRole, Restored, Snapshot
 from tests.raft import Cluster
 
 # Seconds by which the clock of a replica jumps when its machine resumes from suspension.
@@ -225,7 +225,7 @@
         cluster.wipe(node, "2")
     cluster.run(10.0)
     others = [n for n in cluster.nodes.values() if n is not survivor]
-    assert all(n.core.role is RoleName.FOLLOWER for n in others)
+    assert all(n.core.role is RaftRole.FOLLOWER for n in others)
     assert cluster.leader() is None, "an empty replica helped to elect a leader"
     assert len(survivor.applied) == 5
 
@@ -379,7 +379,7 @@
         fresh = cluster.wipe(near, incarnation)
         if incarnation == near.member.incarnation:
             empty = Snapshot(1, 1, members, b"")
-            fresh.storage.snapshot(empty)
+            fresh.storage.save_snapshot(empty)
             cluster.start_core(fresh, Restored(snapshot=empty))
         cluster.cuts.clear()
         cluster.run(8.0)
@@ -443,6 +443,6 @@
     cluster.run_until(cluster.leader)
     cluster.run(1.0)
     follower = next(n for n in cluster.nodes.values() if not n.core.is_leader)
-    assert follower.core.heard_leader_within(1.5)
+    assert follower.core.had_leader_contact_within(1.5)
     follower.core.tick(cluster.now + CLOCK_JUMP_S)
-    assert not follower.core.heard_leader_within(1.5)
+    assert not follower.core.had_leader_contact_within(1.5)
--- a/tests/unit/test_storage.py
+++ b/tests/unit/test_storage.py
@@ -10,7 +10,7 @@
 from finchway.replication import (
     Entry,
     EntryKind,
-    Files,
+    FileOperations,
     Member,
     Members,
     Ready,
@@ -18,8 +18,8 @@
     Storage,
     create_identity,
     load_identity,
-    quarantine,
     require_identity,
+    set_aside_damaged_folder,
 )
 from finchway.replication._messages import HardState
 from tests.raft import CrashError, FaultyFiles
@@ -32,7 +32,7 @@
     return Ready(HardState(term, vote), None, truncate, entries, [], [], [])
 
 
-def open_storage(folder, files: Files | None = None) -> Storage:
+def open_storage(folder, files: FileOperations | None = None) -> Storage:
     storage = Storage(folder, files)
     storage.open()
     return storage
@@ -91,7 +91,7 @@
 def test_corrupt_snapshot_raises(tmp_path):
     storage = open_storage(tmp_path)
     storage.save(make_ready(1, 2))
-    storage.snapshot(Snapshot(2, 1, MEMBERS, b"state"))
+    storage.save_snapshot(Snapshot(2, 1, MEMBERS, b"state"))
     path = next(tmp_path.glob("snapshot-*.snap"))
     data = bytearray(path.read_bytes())
     data[-1] ^= 1
@@ -108,7 +108,7 @@
     storage.save(make_ready(1, 2, 3))
     files.crash_at, files.torn = files.steps + step, torn
     try:
-        storage.snapshot(Snapshot(2, 1, MEMBERS, b"state"))
+        storage.save_snapshot(Snapshot(2, 1, MEMBERS, b"state"))
         storage.save(make_ready(4))
         expected = 4
     except CrashError:
@@ -119,7 +119,7 @@
     assert restored.entries[-1].index == restored.snapshot.index + len(restored.entries)
 
 
-class FullDisk(Files):
+class FullDisk(FileOperations):
     """File operations that fail while `full` or `sync_fails` is set."""
 
     def __init__(self) -> None:
@@ -149,7 +149,7 @@
     with pytest.raises(StorageError, match="must be restarted"):
         storage.save(make_ready(2))
     with pytest.raises(StorageError, match="must be restarted"):
-        storage.snapshot(Snapshot(1, 1, MEMBERS, b""))
+        storage.save_snapshot(Snapshot(1, 1, MEMBERS, b""))
 
 
 def test_empty_folder_does_not_bootstrap_a_cluster(tmp_path):
@@ -163,7 +163,7 @@
     assert load_identity(tmp_path / "data", "c1") == first
     with pytest.raises(StorageError, match="belongs to replica 'c1'"):
         load_identity(tmp_path / "data", "c2")
-    aside = quarantine(tmp_path / "data")
+    aside = set_aside_damaged_folder(tmp_path / "data")
     assert aside.exists()
     second = create_identity(tmp_path / "data", "c1", "cluster")
     assert second.incarnation != first.incarnation
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from finchway.state import (
-    QUARANTINED_FOR_MS,
+    QUARANTINE_DURATIONS_MS,
     Expire,
     ReportRequests,
     RequestReport,
@@ -93,7 +93,7 @@
 def test_quarantine_grows_with_each_failed_trial():
     machine = machine_with(crash_report(3))
     now_ms = 0
-    for place, wait_ms in enumerate((*QUARANTINED_FOR_MS, QUARANTINED_FOR_MS[-1])):
+    for place, wait_ms in enumerate((*QUARANTINE_DURATIONS_MS, QUARANTINE_DURATIONS_MS[-1])):
         machine.apply(Expire(now_ms=now_ms + wait_ms - 1))
         assert suspect_of(machine).state is SuspectState.QUARANTINED
         now_ms += wait_ms
@@ -113,8 +113,8 @@
 
 def test_answered_trial_clears_the_request():
     machine = machine_with(crash_report(3))
-    machine.apply(Expire(now_ms=QUARANTINED_FOR_MS[0]))
-    report(machine, answer_report(), now_ms=QUARANTINED_FOR_MS[0])
+    machine.apply(Expire(now_ms=QUARANTINE_DURATIONS_MS[0]))
+    report(machine, answer_report(), now_ms=QUARANTINE_DURATIONS_MS[0])
     assert not suspect_of(machine).is_current
 
 
@@ -130,7 +130,7 @@
         report(machine, crash_report(1, request=f"r{number}"))
     suspects = machine.steering.suspects
     assert len(suspects) == MAX_SUSPECTS
-    assert suspects.dropped == 6
+    assert suspects.evicted == 6
     assert suspect_of(machine).state is SuspectState.QUARANTINED
     assert suspects.get("r0") is None
 
