--- a/src/finchway/control/_steering_api.py
+++ b/src/finchway/control/_steering_api.py
@@ -196,8 +196,8 @@
 
 def _suspect_row(suspect: Suspect) -> SuspectRow:
     seconds = max(0.0, round(suspect.until_ms / 1000 - WALL.now(), 1))
-    ended = list(suspect.ended)
-    return SuspectRow(suspect.request, suspect.state.value, suspect.ends, ended, seconds)
+    ended = list(suspect.crashed_upstreams)
+    return SuspectRow(suspect.request, suspect.state.value, suspect.crashes, ended, seconds)
 
 
 def _state(registration: Registration, steering: Steering) -> str:
--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -69,7 +69,8 @@
             now = "evacuated" if evacuation.active else "in use"
             self._note_belief(f"zone/{evacuation.zone}", now, evacuation.revision)
         for suspect in feed.image.suspects:
-            source = f"control; ends: {suspect.ends}, newest: {', '.join(suspect.ended) or 'none'}"
+            crashed = ", ".join(suspect.crashed_upstreams) or "none"
+            source = f"control; ends: {suspect.crashes}, newest: {crashed}"
             self._note_belief(
                 f"request/{suspect.request}", suspect.state.value, suspect.revision, source
             )
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -100,10 +100,10 @@
             return Clearance.FREE
         shared = self._shared_suspect(task)
         local = self._local_crashes(task, now)
-        crashes = task.evidence.known = max(local, shared.ends if shared else 0)
+        crashes = task.evidence.known = max(local, shared.crashes if shared else 0)
         if shared is not None and shared.state is SuspectState.QUARANTINED:
             return Clearance.REFUSED
-        if local >= QUARANTINE_THRESHOLD and (shared is None or local > shared.ends):
+        if local >= QUARANTINE_THRESHOLD and (shared is None or local > shared.crashes):
             # The replicas have not confirmed the latest crash yet.
             return Clearance.REFUSED
         return Clearance.ONCE if crashes else Clearance.FREE
@@ -118,7 +118,8 @@
             return True
         shared = self._shared_suspect(task)
         return (
-            max(self._local_crashes(task, now), shared.ends if shared else 0) <= task.evidence.seen
+            max(self._local_crashes(task, now), shared.crashes if shared else 0)
+            <= task.evidence.seen
         )
 
     def retry_after(self, task: Task) -> float:
--- a/src/finchway/membership/_registry.py
+++ b/src/finchway/membership/_registry.py
@@ -23,7 +23,7 @@
     """The latest heartbeat of one entry."""
 
     heartbeat: Heartbeat
-    heard_at: float
+    received_at: float
 
 
 class HeartbeatRegistry:
@@ -64,5 +64,5 @@
         Without a heartbeat, the lease counts from the leader's election.
         """
         latest = self._entries.get(instance)
-        last_contact_at = latest.heard_at if latest else self._started
+        last_contact_at = latest.received_at if latest else self._started
         return now - last_contact_at > self._timing.lease + self._timing.margin
--- a/src/finchway/state/_suspects.py
+++ b/src/finchway/state/_suspects.py
@@ -47,28 +47,28 @@
 class RequestReport(Struct, frozen=True, array_like=True):
     """A gateway's report that an upstream crashed with the request in flight, or answered it.
 
-    `ended` is the incarnation of the upstream that crashed, `ends` the number of consecutive
-    crashes including this one.
+    `crashed_upstream` is the incarnation of the upstream that crashed, `crashes` the number of
+    consecutive crashes including this one.
     """
 
     request: str
-    ends: int = 0
-    ended: str = ""
+    crashes: int = 0
+    crashed_upstream: str = ""
     answered: bool = False
 
 
 class Suspect(Struct, frozen=True, array_like=True):
     """A request, its number of consecutive crashes, and the revision of its last change.
 
-    `ended` lists the last crashed incarnations. At `until_ms`, in the time of the state machine,
-    the state changes without a report. `quarantines` counts the quarantines so far.
+    `crashed_upstreams` lists the last crashed incarnations. At `until_ms`, in the time of the state
+    machine, the state changes without a report. `quarantines` counts the quarantines so far.
     """
 
     revision: int
     request: str
     state: SuspectState
-    ends: int
-    ended: tuple[str, ...]
+    crashes: int
+    crashed_upstreams: tuple[str, ...]
     until_ms: int
     quarantines: int = 0
 
@@ -123,10 +123,12 @@
         suspect = self._held.get(report.request)
         if suspect is None or not suspect.is_current:
             suspect = Suspect(0, report.request, SuspectState.SUSPECTED, 0, (), 0)
-        if report.ends <= suspect.ends:
+        if report.crashes <= suspect.crashes:
             return False
-        crashed = (*suspect.ended, report.ended)[-MAX_RECORDED_INCARNATIONS:]
-        changed = replace(suspect, revision=revision, ends=report.ends, ended=crashed)
+        crashed = (*suspect.crashed_upstreams, report.crashed_upstream)[-MAX_RECORDED_INCARNATIONS:]
+        changed = replace(
+            suspect, revision=revision, crashes=report.crashes, crashed_upstreams=crashed
+        )
         if suspect.state is not SuspectState.QUARANTINED:
             changed = self._quarantine_if_due(changed, now_ms)
         self.put(changed)
@@ -161,7 +163,7 @@
     def _quarantine_if_due(self, suspect: Suspect, now_ms: int) -> Suspect:
         """Quarantine a request at the crash threshold, unless too many are quarantined."""
         quarantined = sum(s.state is SuspectState.QUARANTINED for s in self._held.values())
-        if suspect.ends < QUARANTINE_THRESHOLD or quarantined >= MAX_QUARANTINED:
+        if suspect.crashes < QUARANTINE_THRESHOLD or quarantined >= MAX_QUARANTINED:
             return replace(suspect, until_ms=now_ms + SUSPICION_MS)
         wait_ms = QUARANTINE_DURATIONS_MS[
             min(suspect.quarantines, len(QUARANTINE_DURATIONS_MS) - 1)
@@ -188,5 +190,5 @@
         case SuspectState.CLEARED:
             return 0, 0
         case SuspectState.SUSPECTED:
-            return 1, suspect.ends
+            return 1, suspect.crashes
     return 2, suspect.quarantines
--- a/tests/gateway/test_suspect_requests.py
+++ b/tests/gateway/test_suspect_requests.py
@@ -207,8 +207,8 @@
         await send_request(subject, 1)
         await trio.sleep(0.1)
         report = subject.reports[-1]
-        assert report.ends == 2
-        assert report.ended in {f"i-{n}" for n in range(UPSTREAMS)}
+        assert report.crashes == 2
+        assert report.crashed_upstream in {f"i-{n}" for n in range(UPSTREAMS)}
         apply_reports(subject, report)
         for upstream in upstreams:
             upstream._crashing_paths = ()
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -45,13 +45,13 @@
     assert suspect_of(machine).state is SuspectState.SUSPECTED
     report(machine, crash_report(3))
     assert suspect_of(machine).state is SuspectState.QUARANTINED
-    assert suspect_of(machine).ended == ("upstream-1", "upstream-2", "upstream-3")
+    assert suspect_of(machine).crashed_upstreams == ("upstream-1", "upstream-2", "upstream-3")
 
 
 def test_simultaneous_crashes_count_once():
     machine = machine_with(*(crash_report(1, incarnation) for incarnation in "abcde"))
-    assert suspect_of(machine).ends == 1
-    assert suspect_of(machine).ended == ("a",)
+    assert suspect_of(machine).crashes == 1
+    assert suspect_of(machine).crashed_upstreams == ("a",)
 
 
 def test_duplicate_or_late_report_is_ignored():
@@ -64,7 +64,7 @@
 def test_answer_clears_a_request_and_resets_the_count():
     machine = machine_with(crash_report(2), answer_report(), crash_report(1), crash_report(2))
     assert suspect_of(machine).state is SuspectState.SUSPECTED
-    assert suspect_of(machine).ends == 2
+    assert suspect_of(machine).crashes == 2
 
 
 def test_copy_receives_each_state_change():
@@ -141,7 +141,7 @@
     other.restore(machine.snapshot())
     assert other.digest() == machine.digest()
     report(other, crash_report(2, request="other"))
-    assert suspect_of(other, "other").ended == ("upstream-1", "upstream-2")
+    assert suspect_of(other, "other").crashed_upstreams == ("upstream-1", "upstream-2")
 
 
 def test_image_without_suspects_can_be_decoded():
