--- a/src/finchway/gateway/__init__.py
+++ b/src/finchway/gateway/__init__.py
@@ -12,7 +12,7 @@
 from finchway.gateway._session import GatewaySession
 from finchway.gateway._suspects import Clearance, SuspectDesk
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import Choice, ChoiceReason, Task
+from finchway.gateway._task import Choice, ChoiceReason, RequestContext
 
 __all__ = [
     "Bounds",
@@ -33,6 +33,6 @@
     "RequestLog",
     "Router",
     "SuspectDesk",
-    "Task",
+    "RequestContext",
     "UpstreamTable",
 ]
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -32,7 +32,7 @@
 from finchway.gateway._router import Router
 from finchway.gateway._suspects import Clearance, SuspectDesk
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import Choice, Task
+from finchway.gateway._task import Choice, RequestContext
 from finchway.pushback import NO_PUSHBACK, is_own_answer, read_pushback
 
 # Range of the random Retry-After of refusals, so that refused callers do not retry together.
@@ -81,15 +81,15 @@
         if matched is None:
             await self._refuse_unrouted(connection, request)
             return
-        task = self._task(request, *matched)
-        if task is None:
+        context = self._make_context(request, *matched)
+        if context is None:
             await self._refuse(
                 connection, request, Reply(400), "request id missing or deadline malformed"
             )
             return
         self._in_flight += 1
         try:
-            await self._serve_task(connection, task)
+            await self._serve_request(connection, context)
         finally:
             self._in_flight -= 1
 
@@ -113,7 +113,9 @@
         self._log.note_refused(request, request_id, reply.status, reason)
         await connection.reply(reply)
 
-    def _task(self, request: CallerRequest, name: str, route: Route) -> Task | None:
+    def _make_context(
+        self, request: CallerRequest, name: str, route: Route
+    ) -> RequestContext | None:
         request_id = request.header(self._names.request_id)
         if not request_id:
             return None
@@ -127,7 +129,7 @@
         deadline = request.arrived_at + min(timeout, route.timeout)
         service = self._router.select_service(name, route)
         key = request.header(self._names.affinity_key) if route.affinity else None
-        task = Task(
+        context = RequestContext(
             request,
             name,
             route,
@@ -139,105 +141,111 @@
             has_key=bool(key),
         )
         if not request.more:
-            task.is_read.set()
-        return task
+            context.is_read.set()
+        return context
 
-    async def _serve_task(self, connection: CallerConnection, task: Task) -> None:
+    async def _serve_request(self, connection: CallerConnection, context: RequestContext) -> None:
         left = trio.Event()
         outcome = Outcome(Verdict.LEFT)
         if connection.has_left:
             # After a stall, a gateway must not send the backlog of departed callers upstream.
-            self._log.note_ended(task, 0, "the caller had left")
+            self._log.note_ended(context, 0, "the caller had left")
             raise CallerLeftError
-        clearance = self._suspects.clearance(task, trio.current_time())
+        clearance = self._suspects.clearance(context, trio.current_time())
         if clearance is Clearance.REFUSED:
-            await self._refuse_quarantined(connection, task)
+            await self._refuse_quarantined(connection, context)
             return
-        task.once = clearance is Clearance.ONCE
-        self._router.count_request(task, trio.current_time())
+        context.once = clearance is Clearance.ONCE
+        self._router.count_request(context, trio.current_time())
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._cancel_when_left, connection, task, left, nursery.cancel_scope)
-            with trio.move_on_at(task.deadline), self._suspects.track(task), task.scope:
+            nursery.start_soon(
+                self._cancel_when_left, connection, context, left, nursery.cancel_scope
+            )
+            with trio.move_on_at(context.deadline), self._suspects.track(context), context.scope:
                 outcome = Outcome(Verdict.NOT_RUN, "deadline")
-                outcome = await self._run_attempts(connection, task)
+                outcome = await self._run_attempts(connection, context)
             nursery.cancel_scope.cancel()
-        if task.is_quarantined and outcome.answer is None:
-            verdict = Verdict.UNKNOWN if task.attempts else Verdict.NOT_RUN
+        if context.is_quarantined and outcome.answer is None:
+            verdict = Verdict.UNKNOWN if context.attempts else Verdict.NOT_RUN
             outcome = Outcome(verdict, "quarantined while in flight")
         if left.is_set() and outcome.answer is None:
-            self._log.note_ended(task, 0, "the caller left")
+            self._log.note_ended(context, 0, "the caller left")
             raise CallerLeftError
-        await self._reply(connection, task, outcome)
+        await self._reply(connection, context, outcome)
 
-    async def _refuse_quarantined(self, connection: CallerConnection, task: Task) -> None:
+    async def _refuse_quarantined(
+        self, connection: CallerConnection, context: RequestContext
+    ) -> None:
         """Refuse a quarantined request with a Retry-After.
 
         The status is 503 for "not run" rather than a denial, since it is only inferred that the
         request crashes upstreams.
         """
-        after = self._suspects.retry_after(task)
-        self._log.note_quarantined(task)
+        after = self._suspects.retry_after(context)
+        self._log.note_quarantined(context)
         await connection.reply(Reply(503, headers=((b"Retry-After", f"{after:.0f}".encode()),)))
 
     async def _cancel_when_left(
         self,
         connection: CallerConnection,
-        task: Task,
+        context: RequestContext,
         left: trio.Event,
         scope: trio.CancelScope,
     ) -> None:
-        await task.is_read.wait()
+        await context.is_read.wait()
         await connection.wait_closed()
         left.set()
         scope.cancel()
 
     # Attempts
 
-    async def _run_attempts(self, connection: CallerConnection, task: Task) -> Outcome:
+    async def _run_attempts(self, connection: CallerConnection, context: RequestContext) -> Outcome:
         """Try upstreams in turn; once an attempt may have run, the outcome is not NOT_RUN."""
         outcome = Outcome(Verdict.NOT_RUN, "no upstream")
-        while task.attempts < task.route.max_attempts:
+        while context.attempts < context.route.max_attempts:
             now = trio.current_time()
-            denied = self._retry_denial(task, outcome, now) if task.attempts else ""
-            choice = None if denied else self._router.choose(task, now)
-            if choice is None and not task.attempts:
-                return Outcome(Verdict.NOT_RUN, task.refusal)
+            denied = self._retry_denial(context, outcome, now) if context.attempts else ""
+            choice = None if denied else self._router.choose(context, now)
+            if choice is None and not context.attempts:
+                return Outcome(Verdict.NOT_RUN, context.refusal)
             if (
                 choice is not None
-                and task.attempts
-                and not self._router.may_retry(task.service, now)
+                and context.attempts
+                and not self._router.may_retry(context.service, now)
             ):
                 denied = "the budget for repeats is used up"
             if denied or choice is None:
-                self._log.note_retry_denied(task, denied or task.refusal, outcome)
+                self._log.note_retry_denied(context, denied or context.refusal, outcome)
                 return outcome
-            task.tried.add(choice.record.registration.instance)
+            context.tried.add(choice.record.registration.instance)
             earlier = outcome
-            outcome = await self._attempt(connection, task, choice)
+            outcome = await self._attempt(connection, context, choice)
             if outcome.verdict is Verdict.ANSWERED:
                 return outcome
             if earlier.verdict is Verdict.UNKNOWN:
                 outcome.verdict = Verdict.UNKNOWN
         return outcome
 
-    def _retry_denial(self, task: Task, outcome: Outcome, now: float) -> str:
+    def _retry_denial(self, context: RequestContext, outcome: Outcome, now: float) -> str:
         """Return why no further attempt may be made; empty if one may."""
-        if task.request.more:
+        if context.request.more:
             return "the body was streamed"
         may_have_run = outcome.verdict is Verdict.UNKNOWN
-        if may_have_run and task.route.type is not RouteType.SAFE:
+        if may_have_run and context.route.type is not RouteType.SAFE:
             return "it may have run and must not run twice"
-        if task.deadline - now < _MIN_ATTEMPT_S:
+        if context.deadline - now < _MIN_ATTEMPT_S:
             return "no time left"
-        if may_have_run and (task.once or not self._suspects.may_retry(task, now)):
+        if may_have_run and (context.once or not self._suspects.may_retry(context, now)):
             return "upstreams have ended under it"
         return ""
 
-    async def _attempt(self, connection: CallerConnection, task: Task, choice: Choice) -> Outcome:
+    async def _attempt(
+        self, connection: CallerConnection, context: RequestContext, choice: Choice
+    ) -> Outcome:
         record = choice.record
-        task.asked = NO_PUSHBACK
+        context.asked = NO_PUSHBACK
         now = started = trio.current_time()
-        reserved = self._table.reserve(record, task.request_id, task.key, now)
+        reserved = self._table.reserve(record, context.request_id, context.key, now)
         upstream = None
         whole = streams = False
         outcome = Outcome(Verdict.UNKNOWN, CANCELLED)
@@ -245,20 +253,20 @@
             upstream = await self._table.connect(reserved, now)
             reserved.is_sent = True
             record.in_use.add(upstream)
-            task.attempts += 1
-            answer = await self._exchange(connection, task, record, upstream, now)
-            outcome = self._classify_answer(task, choice, upstream, answer, now)
+            context.attempts += 1
+            answer = await self._exchange(connection, context, record, upstream, now)
+            outcome = self._classify_answer(context, choice, upstream, answer, now)
             whole = answer.complete
             streams = not whole and outcome.verdict is Verdict.ANSWERED
             return outcome
         except AttemptError as error:
-            outcome = self._classify_failure(task, record, error)
+            outcome = self._classify_failure(context, record, error)
             return outcome
         finally:
             self._table.release(reserved, outcome.verdict is Verdict.ANSWERED)
-            if outcome.detail == CANCELLED and trio.current_time() >= task.deadline:
-                self._note_timeout(task, record, upstream)
-            self._log.note_attempt(task, choice, outcome, started)
+            if outcome.detail == CANCELLED and trio.current_time() >= context.deadline:
+                self._note_timeout(context, record, upstream)
+            self._log.note_attempt(context, choice, outcome, started)
             if upstream is not None:
                 record.in_use.discard(upstream)
                 if whole:
@@ -266,7 +274,9 @@
                 elif not streams:
                     upstream.close()
 
-    def _classify_failure(self, task: Task, record: UpstreamRecord, error: AttemptError) -> Outcome:
+    def _classify_failure(
+        self, context: RequestContext, record: UpstreamRecord, error: AttemptError
+    ) -> Outcome:
         """Return the outcome of a failed attempt and update the upstream's record."""
         now = trio.current_time()
         match error.failure:
@@ -284,11 +294,11 @@
             case Failure.BROKEN:
                 self._router.note_broken(record)
                 record.back_off(now, SHED_BACKOFF_S)
-                self._suspects.note_broken(task, record)
+                self._suspects.note_broken(context, record)
         return Outcome(Verdict.UNKNOWN, error.detail, record=record)
 
     def _note_timeout(
-        self, task: Task, record: UpstreamRecord, upstream: UpstreamConnection | None
+        self, context: RequestContext, record: UpstreamRecord, upstream: UpstreamConnection | None
     ) -> None:
         """Record an attempt that reached its deadline.
 
@@ -296,33 +306,33 @@
         are closed before further requests time out on them.
         """
         record.note_timeout(trio.current_time())
-        self._router.note_timeout(task, record)
+        self._router.note_timeout(context, record)
         if upstream is not None and upstream.is_reused:
             record.close_idle()
 
     async def _exchange(
         self,
         connection: CallerConnection,
-        task: Task,
+        context: RequestContext,
         record: UpstreamRecord,
         upstream: UpstreamConnection,
         sent_at: float,
     ) -> Answer:
-        request = task.request
-        headers = self._headers(task, record)
-        on_head = functools.partial(self._note_head, task, record, sent_at)
+        request = context.request
+        headers = self._headers(context, record)
+        on_head = functools.partial(self._note_head, context, record, sent_at)
         if not request.more:
             await upstream.send(request.method, request.target, headers, request.body)
-            return await upstream.receive(self._names.request_id, task.request_id, on_head)
+            return await upstream.receive(self._names.request_id, context.request_id, on_head)
         await upstream.send_start(request.method, request.target, headers, request.body)
         while (part := await connection.read_more()) is not None:
             await upstream.send_part(part)
-        task.is_read.set()
+        context.is_read.set()
         await upstream.send_end()
-        return await upstream.receive(self._names.request_id, task.request_id, on_head)
+        return await upstream.receive(self._names.request_id, context.request_id, on_head)
 
     def _note_head(
-        self, task: Task, record: UpstreamRecord, sent_at: float, answer: Answer
+        self, context: RequestContext, record: UpstreamRecord, sent_at: float, answer: Answer
     ) -> None:
         """Apply the pushback in the head of an answer."""
         names = self._names
@@ -334,13 +344,13 @@
             self._table.limits.note(record.registration.incarnation, pushback, sent_at, now)
         if pushback is NO_PUSHBACK:
             return
-        task.asked = pushback
+        context.asked = pushback
         self._table.note_pushback(record, pushback, now)
-        self._log.count_pushback(task)
+        self._log.count_pushback(context)
 
-    def _headers(self, task: Task, record: UpstreamRecord) -> Headers:
+    def _headers(self, context: RequestContext, record: UpstreamRecord) -> Headers:
         names = self._names
-        request = task.request
+        request = context.request
         connection = (request.header(b"connection") or "").lower()
         listed = {word.strip().encode("latin-1") for word in connection.split(",")}
         own = {names.deadline_ms, names.expected_instance}
@@ -349,7 +359,7 @@
             for name, value in request.headers
             if name not in HOP_HEADERS and name not in listed and name not in own
         ]
-        left_ms = max(1, int((task.deadline - trio.current_time()) * 1000))
+        left_ms = max(1, int((context.deadline - trio.current_time()) * 1000))
         kept.append((names.deadline_ms, str(left_ms).encode()))
         kept.append((names.expected_instance, record.registration.instance.encode()))
         framed = any(name == b"content-length" for name, _ in kept)
@@ -361,7 +371,7 @@
 
     def _classify_answer(
         self,
-        task: Task,
+        context: RequestContext,
         choice: Choice,
         upstream: UpstreamConnection,
         answer: Answer,
@@ -373,20 +383,20 @@
         refused = answer.status == 421 or answer.header(self._names.not_executed) is not None
         if not refused:
             record.note_success()
-            self._router.note_answer(task, choice, answer.status, now - sent_at, now)
+            self._router.note_answer(context, choice, answer.status, now - sent_at, now)
             if answer.status < 500:
                 # A 5xx does not show that the request ran: it may have timed out in a queue.
-                self._suspects.note_answered(task)
+                self._suspects.note_answered(context)
             return Outcome(Verdict.ANSWERED, "", answer, upstream, record)
         if answer.status == 421:
             record.note_failure(now)
             record.close_idle()
-        elif task.asked.backoff_s > 0:
+        elif context.asked.backoff_s > 0:
             # The upstream requested a backoff, so its free slots must not be used for the retry.
             record.back_off(now, SHED_BACKOFF_S)
         elif self._router.note_refused(record, now):
             # The key is warm here, so the retry may go to the same upstream.
-            task.tried.discard(record.registration.instance)
+            context.tried.discard(record.registration.instance)
         else:
             record.back_off(now, SHED_BACKOFF_S)
         return Outcome(Verdict.NOT_RUN, f"refused with {answer.status}", record=record)
@@ -399,18 +409,20 @@
 
     # Answers
 
-    async def _reply(self, connection: CallerConnection, task: Task, outcome: Outcome) -> None:
+    async def _reply(
+        self, connection: CallerConnection, context: RequestContext, outcome: Outcome
+    ) -> None:
         if outcome.answer is not None:
-            self._log.note_ended(task, outcome.answer.status, "answered")
+            self._log.note_ended(context, outcome.answer.status, "answered")
             await self._relay_answer(connection, outcome)
             return
-        out_of_time = trio.current_time() >= task.deadline
-        if outcome.verdict is Verdict.NOT_RUN and not (out_of_time and task.attempts):
-            task.back_in = self._router.available_in(task, trio.current_time())
-            reply = _retry_later(503, task.back_in)
+        out_of_time = trio.current_time() >= context.deadline
+        if outcome.verdict is Verdict.NOT_RUN and not (out_of_time and context.attempts):
+            context.back_in = self._router.available_in(context, trio.current_time())
+            reply = _retry_later(503, context.back_in)
         else:
             reply = Reply(504 if out_of_time else 502)
-        self._log.note_ended(task, reply.status, outcome.detail)
+        self._log.note_ended(context, reply.status, outcome.detail)
         await connection.reply(reply)
 
     async def _relay_answer(self, connection: CallerConnection, outcome: Outcome) -> None:
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -8,7 +8,7 @@
 from finchway.gateway._http import CallerRequest
 from finchway.gateway._outcome import Outcome, Verdict
 from finchway.gateway._record import UpstreamRecord
-from finchway.gateway._task import Choice, Task
+from finchway.gateway._task import Choice, RequestContext
 from finchway.observe import (
     AttemptEnded,
     BeliefChanged,
@@ -53,41 +53,43 @@
             )
         )
 
-    def note_ended(self, task: Task, status: int, reason: str) -> None:
+    def note_ended(self, context: RequestContext, status: int, reason: str) -> None:
         """Log and count the end of a request; the status is 0 if no answer was sent."""
         now = trio.current_time()
-        request = task.request
+        request = context.request
         self._metrics.count_request(
-            task.service, task.route.priority, status, now - request.arrived_at
+            context.service, context.route.priority, status, now - request.arrived_at
         )
         self._decisions.write(
             RequestEnded(
-                id=task.request_id,
-                route=task.route_name,
-                service=task.service,
-                priority=task.route.priority,
+                id=context.request_id,
+                route=context.route_name,
+                service=context.service,
+                priority=context.route.priority,
                 status=status,
                 reason=reason,
-                attempts=task.attempts,
+                attempts=context.attempts,
                 ms=_ms(now - request.arrived_at),
-                budget_ms=_ms(task.deadline - request.arrived_at),
-                back_ms=_ms(task.back_in) or None,
-                digest="" if 0 < status < 400 else task.digest,
+                budget_ms=_ms(context.deadline - request.arrived_at),
+                back_ms=_ms(context.back_in) or None,
+                digest="" if 0 < status < 400 else context.digest,
                 revision=self._view.steering.revision,
                 heard_ms=_ms(now - self._view.last_contact_at),
                 known_ms=_ms(now - self._view.current_as_of),
             )
         )
 
-    def note_attempt(self, task: Task, choice: Choice, outcome: Outcome, started: float) -> None:
+    def note_attempt(
+        self, context: RequestContext, choice: Choice, outcome: Outcome, started: float
+    ) -> None:
         """Log and count an attempt, with the reasons for its upstream."""
         registration = choice.record.registration
-        self._metrics.count_attempt(task.service, outcome.verdict.value)
+        self._metrics.count_attempt(context.service, outcome.verdict.value)
         self._decisions.write(
             AttemptEnded(
-                id=task.request_id,
-                number=task.attempts,
-                key=task.key,
+                id=context.request_id,
+                number=context.attempts,
+                key=context.key,
                 upstream=registration.incarnation,
                 zone=registration.zone,
                 region=choice.region,
@@ -97,49 +99,49 @@
                 report_ms=_ms(choice.report_age),
                 heard_ms=_ms(choice.heard_age),
                 kept=round(choice.kept_part, 3),
-                choices=task.choices,
+                choices=context.choices,
                 result=outcome.verdict.value,
                 detail=outcome.detail,
-                digest=task.fingerprint if outcome.verdict is Verdict.UNKNOWN else "",
+                digest=context.fingerprint if outcome.verdict is Verdict.UNKNOWN else "",
                 passed_over=choice.passed.resting,
                 rest_left_ms=_ms(choice.rest_left) or None,
-                asked_ms=_ms(task.asked.backoff_s) or None,
-                leaving=task.asked.leaving,
+                asked_ms=_ms(context.asked.backoff_s) or None,
+                leaving=context.asked.leaving,
                 limit=choice.limit,
                 limit_ms=None if choice.limit is None else _ms(choice.limit_age),
                 limit_part=None if choice.part is None else round(choice.part.rate, 3),
                 limit_holders=0 if choice.part is None else choice.part.holders,
                 at_limit=choice.passed.at_limit,
-                named_limit=task.asked.limit,
+                named_limit=context.asked.limit,
                 ms=_ms(trio.current_time() - started),
             )
         )
 
-    def count_pushback(self, task: Task) -> None:
+    def count_pushback(self, context: RequestContext) -> None:
         """Count the pushback of an answer by kind."""
-        pushback = task.asked
+        pushback = context.asked
         if pushback.backoff_s > 0:
-            self._metrics.count_asked(task.service, "rest")
+            self._metrics.count_asked(context.service, "rest")
         if pushback.leaving:
-            self._metrics.count_asked(task.service, "leaving")
+            self._metrics.count_asked(context.service, "leaving")
         if pushback.limit is not None:
-            self._metrics.count_asked(task.service, "limit")
+            self._metrics.count_asked(context.service, "limit")
         if pushback.invalid_retry_after or pushback.invalid_limit is not None:
-            self._metrics.count_asked(task.service, "unreadable")
+            self._metrics.count_asked(context.service, "unreadable")
 
-    def note_quarantined(self, task: Task) -> None:
+    def note_quarantined(self, context: RequestContext) -> None:
         """Log and count a request that is refused because it is quarantined."""
-        self._metrics.count_quarantined(task.service)
-        self.note_ended(task, 503, "quarantined: upstreams end under it")
+        self._metrics.count_quarantined(context.service)
+        self.note_ended(context, 503, "quarantined: upstreams end under it")
 
-    def note_crash(self, task: Task, record: UpstreamRecord, crashes: int) -> None:
+    def note_crash(self, context: RequestContext, record: UpstreamRecord, crashes: int) -> None:
         """Log and count that an upstream has crashed while it handled a request."""
-        request = task.request
-        self._metrics.count_upstream_ended(task.service)
+        request = context.request
+        self._metrics.count_upstream_ended(context.service)
         self._decisions.write(
             UpstreamEnded(
-                id=task.request_id,
-                digest=task.fingerprint,
+                id=context.request_id,
+                digest=context.fingerprint,
                 caller=request.caller,
                 target=f"{request.method} {request.host}{request.path}",
                 upstream=record.registration.incarnation,
@@ -149,22 +151,22 @@
             )
         )
 
-    def note_unprobed(self, task: Task, record: UpstreamRecord) -> None:
+    def note_unprobed(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Log that an upstream is not probed since the queue of probes is full."""
         self._decisions.write(
             BeliefChanged(
                 subject=f"upstream/{record.registration.instance}",
                 now="connection failed; not probed, too many probes are queued",
-                source=f"request/{task.fingerprint}",
+                source=f"request/{context.fingerprint}",
             )
         )
 
-    def note_retry_denied(self, task: Task, reason: str, outcome: Outcome) -> None:
+    def note_retry_denied(self, context: RequestContext, reason: str, outcome: Outcome) -> None:
         """Log and count that a request is not retried."""
-        self._metrics.count_denied(task.service, reason)
+        self._metrics.count_denied(context.service, reason)
         self._decisions.write(
             RepeatDenied(
-                id=task.request_id, service=task.service, reason=reason, after=outcome.detail
+                id=context.request_id, service=context.service, reason=reason, after=outcome.detail
             )
         )
 
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -13,7 +13,7 @@
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._service import ServicePlan
 from finchway.gateway._table import RegionUpstreams, UpstreamTable
-from finchway.gateway._task import Choice, ChoiceReason, PassedOver, Task
+from finchway.gateway._task import Choice, ChoiceReason, RequestContext, SkippedUpstreams
 from finchway.policy import UPSTREAMS_PER_KEY, AttemptBudget, Candidate, choose_for_key
 
 # Requests that a gateway may always have in flight at an upstream, however small its share is.
@@ -56,10 +56,10 @@
         plans = sorted(self._plans.items())
         return [ServiceRate(service, round(plan.rate(now), 2)) for service, plan in plans]
 
-    def count_request(self, task: Task, now: float) -> None:
+    def count_request(self, context: RequestContext, now: float) -> None:
         """Count a caller's request towards the rate and the retry budget of its service."""
-        self._plan(task).count(task)
-        self._retry_budget(task.service).count_request(now)
+        self._plan(context).count(context)
+        self._retry_budget(context.service).count_request(now)
 
     def select_service(self, name: str, route: Route) -> str:
         """Return the service for a route's next request by smooth weighted round-robin."""
@@ -81,23 +81,23 @@
         return self._retry_budget(service).spend(now, self._view.serving_count(now))
 
     def note_answer(
-        self, task: Task, choice: Choice, status: int, seconds: float, now: float
+        self, context: RequestContext, choice: Choice, status: int, seconds: float, now: float
     ) -> None:
         """Update the service estimate and the upstream's record from an answered attempt.
 
         A slow answer counts against the upstream only if the key is warm there. Streamed requests
         are not timed, since their duration depends on the caller.
         """
-        plan = self._plan(task)
+        plan = self._plan(context)
         estimate = plan.estimate
         record = choice.record
-        is_warm = record.is_warm(task.key, now)
-        record.note_warm_key(task.key, now)
+        is_warm = record.is_warm(context.key, now)
+        record.note_warm_key(context.key, now)
         if status < 300:
-            estimate.note_answer(seconds, task.route.target_latency)
+            estimate.note_answer(seconds, context.route.target_latency)
             if is_warm and not record.outlier_state.is_suspect:
                 plan.note_warm_answer(choice.region, seconds)
-        if task.request.more:
+        if context.request.more:
             return
         is_slow = seconds > estimate.slow_after
         if status >= 500:
@@ -121,57 +121,57 @@
         """Record an attempt that failed before a complete answer."""
         record.outlier_state.record(True)
 
-    def note_timeout(self, task: Task, record: UpstreamRecord) -> None:
+    def note_timeout(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Record an attempt that reached its deadline."""
         record.outlier_state.record(True)
-        self._plan(task).estimate.note_timeout()
+        self._plan(context).estimate.note_timeout()
 
-    def choose(self, task: Task, now: float) -> Choice | None:
-        """Return the upstream for an attempt, or None with the reason in `task.refusal`."""
-        regions = self._allowed_regions(task, now)
-        task.choices = sum(len(upstreams.names) for upstreams in regions.values())
+    def choose(self, context: RequestContext, now: float) -> Choice | None:
+        """Return the upstream for an attempt, or None with the reason in `context.refusal`."""
+        regions = self._allowed_regions(context, now)
+        context.choices = sum(len(upstreams.names) for upstreams in regions.values())
         if not regions:
-            task.refusal = "no upstream"
+            context.refusal = "no upstream"
             return None
-        order = self._plan(task).regions_for(task, list(regions), now)
-        passed_over = PassedOver()
+        order = self._plan(context).regions_for(context, list(regions), now)
+        skipped = SkippedUpstreams()
         for region in order:
             is_spilled = region != order[0]
             choice = self._choose_in_region(
-                task, region, regions[region], now, is_spilled, passed_over
+                context, region, regions[region], now, is_spilled, skipped
             )
             if choice is not None:
                 return choice
             if region == order[0] and self._has_available(regions[region], now):
                 break
-        if self.available_in(task, now) <= 0:
-            task.refusal = "all upstreams for the key are full or resting"
-        elif self._all_in_backoff(task, now):
-            task.refusal = "all upstreams have asked for rest"
+        if self.available_in(context, now) <= 0:
+            context.refusal = "all upstreams for the key are full or resting"
+        elif self._all_in_backoff(context, now):
+            context.refusal = "all upstreams have asked for rest"
         else:
-            task.refusal = "all upstreams rest or are at the limits that they have named"
+            context.refusal = "all upstreams rest or are at the limits that they have named"
         return None
 
-    def available_in(self, task: Task, now: float) -> float:
+    def available_in(self, context: RequestContext, now: float) -> float:
         """Return the seconds until an upstream for a request is available; 0 if one is now."""
-        regions = self._allowed_regions(task, now).values()
+        regions = self._allowed_regions(context, now).values()
         record_available_in = self._table.available_in
         return min(
             (upstreams.available_in(record_available_in, now) for upstreams in regions), default=0.0
         )
 
-    def _all_in_backoff(self, task: Task, now: float) -> bool:
+    def _all_in_backoff(self, context: RequestContext, now: float) -> bool:
         """Return whether all upstreams for a request are in a backoff that they requested."""
         return all(
             self._table.rests.remaining_s(record.registration.incarnation, now) > 0
-            for upstreams in self._allowed_regions(task, now).values()
+            for upstreams in self._allowed_regions(context, now).values()
             for record in upstreams.records.values()
         )
 
-    def _allowed_regions(self, task: Task, now: float) -> dict[str, RegionUpstreams]:
+    def _allowed_regions(self, context: RequestContext, now: float) -> dict[str, RegionUpstreams]:
         """Return the upstreams that may serve a request by region."""
-        allowed = task.route.allowed_regions
-        regions = self._table.regions(task.service, now)
+        allowed = context.route.allowed_regions
+        regions = self._table.regions(context.service, now)
         if not allowed:
             return regions
         return {name: upstreams for name, upstreams in regions.items() if name in allowed}
@@ -187,31 +187,33 @@
 
     def _choose_in_region(
         self,
-        task: Task,
+        context: RequestContext,
         region: str,
         upstreams: RegionUpstreams,
         now: float,
         is_spilled: bool,
-        passed_over: PassedOver,
+        skipped: SkippedUpstreams,
     ) -> Choice | None:
         """Return the best upstream for a key in one region; None if none has room."""
-        plan = self._plan(task)
+        plan = self._plan(context)
         outliers = plan.outliers(now)
         rests = self._table.rests
         candidates: list[Candidate] = []
-        for name in plan.upstreams_for(task, region, upstreams.names):
+        for name in plan.upstreams_for(context, region, upstreams.names):
             record = upstreams.records[name]
-            if name in task.tried:
+            if name in context.tried:
                 continue
             if not self._table.is_available(record, now):
-                passed_over.resting += rests.remaining_s(record.registration.incarnation, now) > 0
-                passed_over.at_limit += (
+                skipped.resting += rests.remaining_s(record.registration.incarnation, now) > 0
+                skipped.at_limit += (
                     self._table.limits.rate_limiter.wait(record.registration.incarnation, now) > 0
                 )
                 continue
             if name in outliers and not record.outlier_state.may_try(now):
                 continue
-            if task.request.more and rests.is_awaiting_trial(record.registration.incarnation, now):
+            if context.request.more and rests.is_awaiting_trial(
+                record.registration.incarnation, now
+            ):
                 # A streamed body cannot be sent again if the trial request is refused.
                 continue
             candidates.append(self._candidate(plan, region, record, now))
@@ -240,7 +242,7 @@
             now - self._view.last_contact_at,
             plan.local_share,
             rests.remaining_s(incarnation, now),
-            passed_over,
+            skipped,
             self._table.limits.named.rate(incarnation),
             self._table.limits.named.age(incarnation, now),
             self._table.limits.rate_limiter.part(incarnation, now),
@@ -267,12 +269,12 @@
         own_limit = max(MIN_OWN_REQUESTS, math.ceil(slots * per_slot * plan.own_share(region, now)))
         return Candidate(instance, slots, busy, record.in_flight, own_limit)
 
-    def _plan(self, task: Task) -> ServicePlan:
-        plan = self._plans.get(task.service)
+    def _plan(self, context: RequestContext) -> ServicePlan:
+        plan = self._plans.get(context.service)
         if plan is None:
-            plan = self._plans[task.service] = ServicePlan(
-                task.service,
-                task.route.target_latency,
+            plan = self._plans[context.service] = ServicePlan(
+                context.service,
+                context.route.target_latency,
                 self._zones().get(self._zone, self._zone),
                 self._zones,
                 self._view,
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -8,7 +8,7 @@
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._estimates import ServiceEstimate
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import Task
+from finchway.gateway._task import RequestContext
 from finchway.observe import PlanChanged, RegionShare
 from finchway.policy import (
     GrowthDetector,
@@ -79,11 +79,11 @@
         """The share of requests that the home region handles itself at the moment."""
         return self._spread.parts.get(self._home, 0.0)
 
-    def count(self, task: Task) -> None:
+    def count(self, context: RequestContext) -> None:
         """Count a caller's request and its key."""
         self._meter.add()
-        if task.has_key:
-            self._key_map.record(task.key)
+        if context.has_key:
+            self._key_map.record(context.key)
 
     def note_warm_answer(self, region: str, seconds: float) -> None:
         """Record the time of an answer for a key that should be warm at the upstream."""
@@ -94,22 +94,24 @@
         """Return the rate of callers' requests at this gateway, in requests per second."""
         return self._meter.rate(now)
 
-    def regions_for(self, task: Task, usable: list[str], now: float) -> list[str]:
+    def regions_for(self, context: RequestContext, usable: list[str], now: float) -> list[str]:
         """Return the usable regions in order: the planned one, the home region, the others."""
         self._update_spread(now)
         if len(usable) == 1:
             return usable
-        if task.has_key:
-            first = self._key_map.region_of(task.key)
+        if context.has_key:
+            first = self._key_map.region_of(context.key)
         else:
             first = self._key_map.next_region()
-        others = rank(task.key, [name for name in usable if name not in (first, self._home)])
+        others = rank(context.key, [name for name in usable if name not in (first, self._home)])
         return [name for name in dict.fromkeys((first, self._home, *others)) if name in usable]
 
-    def upstreams_for(self, task: Task, region: str, names: tuple[str, ...]) -> list[str]:
+    def upstreams_for(
+        self, context: RequestContext, region: str, names: tuple[str, ...]
+    ) -> list[str]:
         """Return a region's upstreams in order of preference, with the key's home first."""
-        order = self._orders.order(task.key, names)
-        home = self._key_map.balanced_upstream(task.key, region)
+        order = self._orders.order(context.key, names)
+        home = self._key_map.balanced_upstream(context.key, region)
         if home is None or home == order[0] or home not in names:
             return order
         return [home, *(name for name in order if name != home)]
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -20,7 +20,7 @@
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import Task
+from finchway.gateway._task import RequestContext
 from finchway.state import (
     QUARANTINE_DURATIONS_MS,
     QUARANTINE_THRESHOLD,
@@ -67,7 +67,7 @@
 class _UnresolvedFailure(Struct):
     """A request whose connection failed at an upstream that seemed to be alive."""
 
-    task: Task
+    context: RequestContext
     record: UpstreamRecord
     at: float
 
@@ -87,20 +87,20 @@
         self._log = log
         self._report = report
         self._local_evidence: dict[str, _LocalEvidence] = {}
-        self._in_progress: set[Task] = set()
+        self._in_progress: set[RequestContext] = set()
         self._unresolved: deque[_UnresolvedFailure] = deque(maxlen=MAX_UNRESOLVED)
         table.watch_replaced(self._note_replaced)
         self._probe_sender, self._probe_receiver = trio.open_memory_channel[
-            tuple[Task, UpstreamRecord]
+            tuple[RequestContext, UpstreamRecord]
         ](MAX_QUEUED_PROBES)
 
-    def clearance(self, task: Task, now: float) -> Clearance:
+    def clearance(self, context: RequestContext, now: float) -> Clearance:
         """Return how often a request may be sent, given the crashes that it has caused before."""
         if self._has_no_suspects():
             return Clearance.FREE
-        shared = self._shared_suspect(task)
-        local = self._local_crashes(task, now)
-        crashes = task.evidence.known = max(local, shared.crashes if shared else 0)
+        shared = self._shared_suspect(context)
+        local = self._local_crashes(context, now)
+        crashes = context.evidence.known = max(local, shared.crashes if shared else 0)
         if shared is not None and shared.state is SuspectState.QUARANTINED:
             return Clearance.REFUSED
         if local >= QUARANTINE_THRESHOLD and (shared is None or local > shared.crashes):
@@ -108,7 +108,7 @@
             return Clearance.REFUSED
         return Clearance.ONCE if crashes else Clearance.FREE
 
-    def may_retry(self, task: Task, now: float) -> bool:
+    def may_retry(self, context: RequestContext, now: float) -> bool:
         """Return whether a request may be sent to a further upstream.
 
         A crash in this request's own attempts does not prevent a retry, since most requests in
@@ -116,53 +116,53 @@
         """
         if self._has_no_suspects():
             return True
-        shared = self._shared_suspect(task)
+        shared = self._shared_suspect(context)
         return (
-            max(self._local_crashes(task, now), shared.crashes if shared else 0)
-            <= task.evidence.seen
+            max(self._local_crashes(context, now), shared.crashes if shared else 0)
+            <= context.evidence.seen
         )
 
-    def retry_after(self, task: Task) -> float:
+    def retry_after(self, context: RequestContext) -> float:
         """Return the seconds after which a refused request may be sent again."""
-        shared = self._shared_suspect(task)
+        shared = self._shared_suspect(context)
         default = QUARANTINE_DURATIONS_MS[0] / 1000
         if shared is None or shared.state is not SuspectState.QUARANTINED:
             return default
         return max(MIN_RETRY_AFTER_S, shared.until_ms / 1000 - WALL.now())
 
     @contextmanager
-    def track(self, task: Task) -> Iterator[None]:
+    def track(self, context: RequestContext) -> Iterator[None]:
         """Cancel a request if it is quarantined while in flight.
 
         Crashes are reported when the request is over: one that a further upstream answers has not
         caused them.
         """
-        self._in_progress.add(task)
+        self._in_progress.add(context)
         try:
             yield
         finally:
-            self._in_progress.discard(task)
-            task.evidence.is_over = True
-            self._report_crashes(task)
+            self._in_progress.discard(context)
+            context.evidence.is_over = True
+            self._report_crashes(context)
 
-    def note_broken(self, task: Task, record: UpstreamRecord) -> None:
+    def note_broken(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Schedule a probe of an upstream whose connection failed during a request.
 
         If a new connection succeeds, the upstream has not crashed.
         """
         try:
-            self._probe_sender.send_nowait((task, record))
+            self._probe_sender.send_nowait((context, record))
         except trio.WouldBlock:
-            self._log.note_unprobed(task, record)
+            self._log.note_unprobed(context, record)
 
-    def note_answered(self, task: Task) -> None:
+    def note_answered(self, context: RequestContext) -> None:
         """Record that an upstream has run a request without a crash."""
-        task.evidence.is_answered = True
+        context.evidence.is_answered = True
         if self._has_no_suspects():
             return
-        self._local_evidence.pop(task.fingerprint, None)
-        if self._shared_suspect(task) is not None:
-            self._report(RequestReport(task.fingerprint, answered=True))
+        self._local_evidence.pop(context.fingerprint, None)
+        if self._shared_suspect(context) is not None:
+            self._report(RequestReport(context.fingerprint, answered=True))
 
     def update(self, suspects: list[Suspect]) -> None:
         """Apply the replicas' list of suspects; cancels quarantined requests in flight."""
@@ -178,10 +178,10 @@
     async def run(self) -> None:
         """Probe the upstreams of failed connections until cancelled."""
         async with trio.open_nursery() as nursery:
-            async for task, record in self._probe_receiver:
-                nursery.start_soon(self._probe, task, record)
+            async for context, record in self._probe_receiver:
+                nursery.start_soon(self._probe, context, record)
 
-    async def _probe(self, task: Task, record: UpstreamRecord) -> None:
+    async def _probe(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Record a crash if nothing listens at the upstream's address any more.
 
         If it has restarted already, or something else listens there, only the heartbeats of its
@@ -189,20 +189,20 @@
         """
         now = trio.current_time()
         if self._table.was_replaced(record):
-            self._note_crash(task, record, now)
+            self._note_crash(context, record, now)
             return
         try:
             connection = await self._open_lasting_connection(record)
         except AttemptError as error:
             if error.failure is Failure.REFUSED:
-                self._note_crash(task, record, now)
+                self._note_crash(context, record, now)
             return
         if connection is None:
             return
         self._table.keep(record, connection)
         while self._unresolved and now - self._unresolved[0].at > RESTART_WITHIN_S:
             self._unresolved.popleft()
-        self._unresolved.append(_UnresolvedFailure(task, record, now))
+        self._unresolved.append(_UnresolvedFailure(context, record, now))
 
     async def _open_lasting_connection(self, record: UpstreamRecord) -> UpstreamConnection | None:
         """Return a connection that stays open; None if the upstream closes each at once.
@@ -225,45 +225,47 @@
         for failure in found:
             self._unresolved.remove(failure)
             if now - failure.at <= RESTART_WITHIN_S:
-                self._note_crash(failure.task, record, now)
+                self._note_crash(failure.context, record, now)
 
-    def _note_crash(self, task: Task, record: UpstreamRecord, now: float) -> None:
-        evidence = task.evidence
+    def _note_crash(self, context: RequestContext, record: UpstreamRecord, now: float) -> None:
+        evidence = context.evidence
         if evidence.is_answered:
             return
         evidence.seen += 1
         evidence.last = record.registration.incarnation
-        earlier = self._local_evidence.pop(task.fingerprint, None)
+        earlier = self._local_evidence.pop(context.fingerprint, None)
         crashes = max(evidence.crashes, earlier.ends if earlier else 0)
-        self._local_evidence[task.fingerprint] = _LocalEvidence(crashes, now)
+        self._local_evidence[context.fingerprint] = _LocalEvidence(crashes, now)
         if len(self._local_evidence) > MAX_EVIDENCE:
             del self._local_evidence[next(iter(self._local_evidence))]
-        self._log.note_crash(task, record, evidence.crashes)
-        self._report_crashes(task)
+        self._log.note_crash(context, record, evidence.crashes)
+        self._report_crashes(context)
         if evidence.crashes >= QUARANTINE_THRESHOLD:
-            self._cancel_quarantined({task.fingerprint})
+            self._cancel_quarantined({context.fingerprint})
 
-    def _report_crashes(self, task: Task) -> None:
-        evidence = task.evidence
+    def _report_crashes(self, context: RequestContext) -> None:
+        evidence = context.evidence
         if evidence.is_over and evidence.seen and not evidence.is_answered:
-            self._report(RequestReport(task.fingerprint, evidence.crashes, evidence.last))
+            self._report(RequestReport(context.fingerprint, evidence.crashes, evidence.last))
 
     def _cancel_quarantined(self, quarantined: set[str]) -> None:
-        for task in [task for task in self._in_progress if task.fingerprint in quarantined]:
-            task.is_quarantined = True
-            task.scope.cancel()
+        for context in [
+            context for context in self._in_progress if context.fingerprint in quarantined
+        ]:
+            context.is_quarantined = True
+            context.scope.cancel()
 
-    def _shared_suspect(self, task: Task) -> Suspect | None:
+    def _shared_suspect(self, context: RequestContext) -> Suspect | None:
         """Return the replicas' current evidence against a request, if any."""
-        suspect = self._view.steering.suspects.get(task.fingerprint)
+        suspect = self._view.steering.suspects.get(context.fingerprint)
         return suspect if suspect is not None and suspect.is_current else None
 
-    def _local_crashes(self, task: Task, now: float) -> int:
-        evidence = self._local_evidence.get(task.fingerprint)
+    def _local_crashes(self, context: RequestContext, now: float) -> int:
+        evidence = self._local_evidence.get(context.fingerprint)
         if evidence is None:
             return 0
         if now - evidence.last_at > EVIDENCE_TTL_S:
-            del self._local_evidence[task.fingerprint]
+            del self._local_evidence[context.fingerprint]
             return 0
         return evidence.ends
 
--- a/src/finchway/gateway/_task.py
+++ b/src/finchway/gateway/_task.py
@@ -34,7 +34,7 @@
         return self.known + self.seen
 
 
-class Task(Struct, eq=False):
+class RequestContext(Struct, eq=False):
     """A request in progress; `refusal` is the reason why no upstream was chosen.
 
     `has_key` is set if the caller sent an affinity key; otherwise `key` is the request's id.
@@ -88,7 +88,7 @@
     OTHER_REGION = "other-region"
 
 
-class PassedOver(Struct):
+class SkippedUpstreams(Struct):
     """Numbers of upstreams that were skipped before one was chosen, over all regions tried.
 
     `resting` counts those in a requested backoff, `at_limit` those at their named limit.
@@ -115,7 +115,7 @@
     heard_age: float
     kept_part: float
     rest_left: float = 0.0
-    passed: PassedOver = field(default_factory=PassedOver)
+    passed: SkippedUpstreams = field(default_factory=SkippedUpstreams)
     limit: float | None = None
     limit_age: float = 0.0
     part: Part | None = None
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -12,8 +12,8 @@
     Bounds,
     CallerRequest,
     ChoiceReason,
+    RequestContext,
     Router,
-    Task,
     UpstreamTable,
 )
 from finchway.observe import DecisionLog, LogWriter
@@ -81,18 +81,20 @@
         decoded = [msgspec.json.decode(line) for line in data.splitlines()]
         return [line for line in decoded if line["event"] == event]
 
-    def task(self, key):
+    def context(self, key):
         now = trio.current_time()
         request = CallerRequest("GET", "/x/1", "a.example", [], b"", now)
-        return Task(request, "r", self.route, "s", f"id-{key}", str(key), now + 2.0, tried=set())
+        return RequestContext(
+            request, "r", self.route, "s", f"id-{key}", str(key), now + 2.0, tried=set()
+        )
 
     def zones_of(self, keys):
         """Return the zones that requests with these keys are sent to; None for a refusal."""
         chosen = []
         for key in keys:
-            task = self.task(key)
-            self.router.count_request(task, trio.current_time())
-            choice = self.router.choose(task, trio.current_time())
+            context = self.context(key)
+            self.router.count_request(context, trio.current_time())
+            choice = self.router.choose(context, trio.current_time())
             chosen.append(choice.record.registration.zone if choice else None)
         return chosen
 
@@ -161,11 +163,11 @@
     now = trio.current_time()
     chosen = []
     for key in keys:
-        task = subject.task(key)
-        subject.router.count_request(task, now)
-        choice = subject.router.choose(task, now)
+        context = subject.context(key)
+        subject.router.count_request(context, now)
+        choice = subject.router.choose(context, now)
         name = choice.record.registration.instance
-        subject.router.note_answer(task, choice, 200, seconds.get(name, 0.1), now)
+        subject.router.note_answer(context, choice, 200, seconds.get(name, 0.1), now)
         chosen.append(name)
     return chosen
 
@@ -224,33 +226,33 @@
     subject = RouterUnderTest(
         [registration(f"n{n}", "north-a", slots=5) for n in range(4)], gateways=gateways
     )
-    task = subject.task("a")
-    subject.router.count_request(task, trio.current_time())
-    home = subject.router.choose(task, trio.current_time()).record
+    context = subject.context("a")
+    subject.router.count_request(context, trio.current_time())
+    home = subject.router.choose(context, trio.current_time()).record
     home.in_flight = 3
     home.note_load(running=3, waiting=0, now=trio.current_time())
-    assert subject.router.choose(subject.task("a"), trio.current_time()).record is home
+    assert subject.router.choose(subject.context("a"), trio.current_time()).record is home
     await trio.sleep(1.0)
-    assert subject.router.choose(subject.task("a"), trio.current_time()).record is not home
+    assert subject.router.choose(subject.context("a"), trio.current_time()).record is not home
     home.note_load(running=5, waiting=0, now=trio.current_time())
     home.in_flight = 4
-    assert subject.router.choose(subject.task("a"), trio.current_time()).record is not home
+    assert subject.router.choose(subject.context("a"), trio.current_time()).record is not home
 
 
 @on_virtual_time
 async def test_choice_carries_its_reason_and_inputs():
     subject = RouterUnderTest([registration(f"n{n}", "north-a", slots=4) for n in range(5)])
-    first = subject.router.choose(subject.task("a"), trio.current_time())
+    first = subject.router.choose(subject.context("a"), trio.current_time())
     assert (first.reason, first.region, first.busy) == (ChoiceReason.HOME, "north", 0.0)
     assert first.report_age == float("inf")
     first.record.note_load(running=4, waiting=5, now=trio.current_time())
     await trio.sleep(0.1)
-    second = subject.router.choose(subject.task("a"), trio.current_time())
+    second = subject.router.choose(subject.context("a"), trio.current_time())
     assert second.reason is ChoiceReason.RELIEF
     assert second.record is not first.record
     for record in (first.record, second.record):
         record.back_off(trio.current_time(), 5.0)
-    third = subject.router.choose(subject.task("a"), trio.current_time())
+    third = subject.router.choose(subject.context("a"), trio.current_time())
     assert third.record not in (first.record, second.record)
 
 
--- a/tests/gateway/test_spread_during_backoff.py
+++ b/tests/gateway/test_spread_during_backoff.py
@@ -47,6 +47,6 @@
     for name in ("s0", "s1", "s2"):
         subject.table.get(name).in_flight = 12
     for number in range(20):
-        choice = subject.router.choose(subject.task(f"k-{number}"), now)
+        choice = subject.router.choose(subject.context(f"k-{number}"), now)
         assert choice is not None
         assert (choice.region, choice.reason) == ("west", ChoiceReason.OTHER_REGION)
--- a/tests/gateway/test_suspect_requests.py
+++ b/tests/gateway/test_suspect_requests.py
@@ -280,8 +280,8 @@
 
             subject.nursery.start_soon(call)
             await started.wait()
-            (task,) = subject.suspects._in_progress
-            apply_reports(subject, RequestReport(task.fingerprint, 3, "elsewhere"))
+            (context,) = subject.suspects._in_progress
+            apply_reports(subject, RequestReport(context.fingerprint, 3, "elsewhere"))
             with trio.fail_after(1.0):
                 await upstream.ended.wait()
                 while not answers:
