--- a/bench/feed.py
+++ b/bench/feed.py
@@ -23,7 +23,7 @@
     ServiceRate,
     Subscribe,
 )
-from finchway.gateway._session import DEMAND_EVERY_S
+from finchway.gateway._session import DEMAND_INTERVAL_S
 from finchway.pushback import LimitLogPosition
 from finchway.state import SteeringImage
 
@@ -105,7 +105,7 @@
     for gateways in GATEWAYS:
         size, _, take_in = measure(make_feed(gateways, news=True))
         roster = len(msgspec.msgpack.encode(make_roster(gateways)))
-        with_demand = 1 / DEMAND_EVERY_S
+        with_demand = 1 / DEMAND_INTERVAL_S
         answers = REPLICAS / LONG_POLL_S
         plain = answers - with_demand
         rate = (size * with_demand + plain_bytes * plain + question * answers) / 1e3
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -28,7 +28,7 @@
     HttpServer,
     RequestLog,
     Router,
-    SuspectDesk,
+    SuspectTracker,
     UpstreamTable,
 )
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
@@ -139,7 +139,7 @@
         self.table = table = UpstreamTable(name, lambda: REGIONS, self.view, Bounds(), decisions)
         router = Router(zone, lambda: REGIONS, self.view, table, Bounds())
         log = RequestLog(self.view, decisions, GatewayMetrics(name), LoopLag())
-        self._suspects = SuspectDesk(self.view, table, log, lambda report: None)
+        self._suspects = SuspectTracker(self.view, table, log, lambda report: None)
         self._forwarder = Forwarder(
             self.view, table, router, NAMES, log, self._suspects, Bounds().apply_within
         )
@@ -231,11 +231,11 @@
                     pass
                 now = trio.current_time()
                 gateway.view.merge(self._feed(version), now)
-                self._limit_log.merge(gateway.table.limits.told(), now)
+                self._limit_log.merge(gateway.table.limits.reports_to_send(), now)
                 heard = self._limit_log.since(gateway.known, now)
                 if heard is not None:
                     gateway.known = heard.position
-                    gateway.table.limits.learn(heard.reports)
+                    gateway.table.limits.merge(heard.reports)
             await trio.sleep(0.5)
 
     def _feed(self, version: int) -> Feed:
--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -123,7 +123,7 @@
     async def _leave(self) -> None:
         self._timeline.record(EventKind.STOPPING, self._settings.instance)
         if self._entry is not None:
-            self._entry_server.leave()
+            self._entry_server.begin_drain()
             await self._entry.leave(self._settings.drain_limit_s, self._entry_server.stop)
         if self._gateway is not None:
             await self._gateway.leave()
--- a/src/finchway/gateway/__init__.py
+++ b/src/finchway/gateway/__init__.py
@@ -10,7 +10,7 @@
 from finchway.gateway._role import GatewayRole, GatewaySettings
 from finchway.gateway._router import Router
 from finchway.gateway._session import GatewaySession
-from finchway.gateway._suspects import Clearance, SuspectDesk
+from finchway.gateway._suspects import Clearance, SuspectTracker
 from finchway.gateway._table import UpstreamTable
 from finchway.gateway._task import Choice, ChoiceReason, RequestContext
 
@@ -32,7 +32,7 @@
     "ReportSender",
     "RequestLog",
     "Router",
-    "SuspectDesk",
+    "SuspectTracker",
     "RequestContext",
     "UpstreamTable",
 ]
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -30,7 +30,7 @@
 from finchway.gateway._record import SHED_BACKOFF_S, UpstreamRecord
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._router import Router
-from finchway.gateway._suspects import Clearance, SuspectDesk
+from finchway.gateway._suspects import Clearance, SuspectTracker
 from finchway.gateway._table import UpstreamTable
 from finchway.gateway._task import Choice, RequestContext
 from finchway.pushback import NO_PUSHBACK, is_own_answer, read_pushback
@@ -55,7 +55,7 @@
         router: Router,
         names: HeaderNames,
         log: RequestLog,
-        suspects: SuspectDesk,
+        suspects: SuspectTracker,
         apply_within: float,
     ) -> None:
         self._view = view
--- a/src/finchway/gateway/_http.py
+++ b/src/finchway/gateway/_http.py
@@ -361,7 +361,7 @@
         scope = self._connections[connection] = trio.CancelScope()
         self._nursery.start_soon(self._handle, connection, scope)
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """Close each connection after its next answer; new ones are still accepted."""
         self._leaving = True
         for connection in self._connections:
@@ -372,7 +372,7 @@
 
         Connections in the kernel's accept queue are still served, since they may hold requests.
         """
-        self.leave()
+        self.begin_drain()
         await self._listener.stop()
         while self._connections:
             self._close_idle(trio.current_time())
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -8,7 +8,7 @@
 import trio
 
 from finchway.feed import ClusterView
-from finchway.gateway._askings import MAX_LOGGED_CHARS
+from finchway.gateway._pushback import MAX_LOGGED_CHARS
 from finchway.gateway._record import UpstreamRecord
 from finchway.observe import BeliefChanged, DecisionLog, LimitTotals
 from finchway.policy import part_of_limit
@@ -19,7 +19,7 @@
     """Tracks the limits that upstreams name, and enforces one gateway's share of each.
 
     `region_of` returns the region of an incarnation. Gateways exchange limits through the replicas:
-    `told` returns those to send, and `learn` applies those received.
+    `reports_to_send` returns those to send, `merge` applies those received.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
         if pushback.limit is not None and (before is None or pushback.limit < before):
             self._on_lowered()
 
-    def learn(self, limits: list[LimitReport]) -> None:
+    def merge(self, limits: list[LimitReport]) -> None:
         """Apply the limits that upstreams have named to other gateways."""
         now = trio.current_time()
         for named in limits:
             if self._named.merge(named, now):
                 self._log_limit(named.incarnation, named.rate, "control")
 
-    def told(self) -> list[LimitReport]:
+    def reports_to_send(self) -> list[LimitReport]:
         """Return the limits recently received from upstreams, for other gateways."""
         return self._named.reports_to_send(trio.current_time())
 
--- a/src/finchway/gateway/_role.py
+++ b/src/finchway/gateway/_role.py
@@ -18,7 +18,7 @@
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._router import Router
 from finchway.gateway._session import GatewaySession
-from finchway.gateway._suspects import SuspectDesk
+from finchway.gateway._suspects import SuspectTracker
 from finchway.gateway._table import UpstreamTable
 from finchway.observe import DecisionLog, GatewayMetrics, GatewayState, LoopLag
 from finchway.transport import Link
@@ -59,7 +59,7 @@
         router = Router(settings.zone, zones, self._view, self._table, bounds)
         log = RequestLog(self._view, decisions, self._metrics, self._lag)
         self._reports = ReportSender(link, lambda: self._session.reachable_replicas)
-        self._suspects = SuspectDesk(self._view, self._table, log, self._reports.put)
+        self._suspects = SuspectTracker(self._view, self._table, log, self._reports.put)
         self._forwarder = Forwarder(
             self._view,
             self._table,
@@ -85,8 +85,8 @@
             router.rates,
             FeedLog(decisions, self._metrics, self._lag),
             self._suspects.update,
-            self._table.limits.told,
-            self._table.limits.learn,
+            self._table.limits.reports_to_send,
+            self._table.limits.merge,
         )
         self._table.limits.on_lowered(self._session.repoll)
         self._server = HttpServer(
@@ -122,7 +122,7 @@
             suspects=len(self._view.steering.suspects),
             reports_waiting=self._reports.waiting,
             reports_dropped=self._reports.dropped,
-            upstreams_resting=len(self._table.rests.backed_off(now)),
+            upstreams_resting=len(self._table.backoffs.backed_off(now)),
             limits=self._table.limits.totals(self._table.records, now),
         )
         return self._metrics.render(state)
@@ -145,7 +145,7 @@
         """Withdraw, serve callers with cached directory answers, then drain requests in flight."""
         started = trio.current_time()
         self._session.leave()
-        self._server.leave()
+        self._server.begin_drain()
         grace = self._bounds.grace
         serve_for = min(DIRECTORY_TTLS_SERVED * self._bounds.directory_ttl + 0.3, grace / 2)
         await trio.sleep(serve_for)
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -163,7 +163,7 @@
     def _all_in_backoff(self, context: RequestContext, now: float) -> bool:
         """Return whether all upstreams for a request are in a backoff that they requested."""
         return all(
-            self._table.rests.remaining_s(record.registration.incarnation, now) > 0
+            self._table.backoffs.remaining_s(record.registration.incarnation, now) > 0
             for upstreams in self._allowed_regions(context, now).values()
             for record in upstreams.records.values()
         )
@@ -197,21 +197,21 @@
         """Return the best upstream for a key in one region; None if none has room."""
         plan = self._plan(context)
         outliers = plan.outliers(now)
-        rests = self._table.rests
+        backoffs = self._table.backoffs
         candidates: list[Candidate] = []
         for name in plan.upstreams_for(context, region, upstreams.names):
             record = upstreams.records[name]
             if name in context.tried:
                 continue
             if not self._table.is_available(record, now):
-                skipped.resting += rests.remaining_s(record.registration.incarnation, now) > 0
+                skipped.resting += backoffs.remaining_s(record.registration.incarnation, now) > 0
                 skipped.at_limit += (
                     self._table.limits.rate_limiter.wait(record.registration.incarnation, now) > 0
                 )
                 continue
             if name in outliers and not record.outlier_state.may_try(now):
                 continue
-            if context.request.more and rests.is_awaiting_trial(
+            if context.request.more and backoffs.is_awaiting_trial(
                 record.registration.incarnation, now
             ):
                 # A streamed body cannot be sent again if the trial request is refused.
@@ -227,7 +227,7 @@
         if chosen.instance in outliers:
             record.outlier_state.record_trial(now)
             reason = ChoiceReason.TRIAL
-        elif rests.is_awaiting_trial(record.registration.incarnation, now):
+        elif backoffs.is_awaiting_trial(record.registration.incarnation, now):
             reason = ChoiceReason.RETURN
         elif is_spilled:
             reason = ChoiceReason.OTHER_REGION
@@ -241,7 +241,7 @@
             now - record.reported_at,
             now - self._view.last_contact_at,
             plan.local_share,
-            rests.remaining_s(incarnation, now),
+            backoffs.remaining_s(incarnation, now),
             skipped,
             self._table.limits.named.rate(incarnation),
             self._table.limits.named.age(incarnation, now),
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -39,7 +39,7 @@
 # Shortest interval between polls that are renewed to report something at once.
 REPOLL_INTERVAL_S = 0.5
 # Interval of polls that request the regions' demand, which is the larger part of an answer.
-DEMAND_EVERY_S = 0.5
+DEMAND_INTERVAL_S = 0.5
 
 
 class GatewaySession:
@@ -236,7 +236,7 @@
     def _is_demand_due(self) -> bool:
         """Return whether the next poll should request the regions' demand."""
         now = trio.current_time()
-        if now - self._demand_requested_at < DEMAND_EVERY_S:
+        if now - self._demand_requested_at < DEMAND_INTERVAL_S:
             return False
         self._demand_requested_at = now
         return True
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -72,7 +72,7 @@
     at: float
 
 
-class SuspectDesk:
+class SuspectTracker:
     """Decides how often requests may be sent, and detects upstreams that crashed under them."""
 
     def __init__(
@@ -89,7 +89,7 @@
         self._local_evidence: dict[str, _LocalEvidence] = {}
         self._in_progress: set[RequestContext] = set()
         self._unresolved: deque[_UnresolvedFailure] = deque(maxlen=MAX_UNRESOLVED)
-        table.watch_replaced(self._note_replaced)
+        table.on_replaced(self._note_replaced)
         self._probe_sender, self._probe_receiver = trio.open_memory_channel[
             tuple[RequestContext, UpstreamRecord]
         ](MAX_QUEUED_PROBES)
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -9,10 +9,10 @@
 from msgspec import Struct
 
 from finchway.feed import ClusterView
-from finchway.gateway._askings import PushbackTracker
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
 from finchway.gateway._limits import LimitTracker
+from finchway.gateway._pushback import PushbackTracker
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._reservation import Reservation
 from finchway.observe import BeliefChanged, DecisionLog
@@ -110,7 +110,7 @@
         return self._opened
 
     @property
-    def rests(self) -> BackoffTable:
+    def backoffs(self) -> BackoffTable:
         """The backoffs that upstreams have requested."""
         return self._pushback.backoffs
 
@@ -196,7 +196,7 @@
         if self._pushback.note(record.registration, pushback, now):
             self.refresh(now)
 
-    def watch_replaced(self, note: Callable[[UpstreamRecord], None]) -> None:
+    def on_replaced(self, note: Callable[[UpstreamRecord], None]) -> None:
         """Set the callback for incarnations that a later one has replaced."""
         self._on_replaced = note
 
@@ -206,7 +206,7 @@
 
     def resting(self, now: float) -> frozenset[str]:
         """Return the upstreams that are in a backoff that they requested."""
-        incarnations = self.rests.backed_off(now)
+        incarnations = self.backoffs.backed_off(now)
         return frozenset(
             self._names[incarnation] for incarnation in incarnations if incarnation in self._names
         )
@@ -214,7 +214,7 @@
     def is_available(self, record: UpstreamRecord, now: float) -> bool:
         """Return whether an upstream may get a request now."""
         incarnation = record.registration.incarnation
-        if record.backoff_until > now or not self.rests.may_send(incarnation, now):
+        if record.backoff_until > now or not self.backoffs.may_send(incarnation, now):
             return False
         # A named limit applies to all gateways together, so each one keeps to its share.
         return self._limits.rate_limiter.may_send(incarnation, now) and self._cold_allows(
@@ -225,14 +225,14 @@
         """Return the seconds until an upstream's requested backoff or limit admits a request."""
         incarnation = record.registration.incarnation
         return max(
-            self.rests.remaining_s(incarnation, now),
+            self.backoffs.remaining_s(incarnation, now),
             self._limits.rate_limiter.wait(incarnation, now),
         )
 
     def reserve(self, record: UpstreamRecord, request_id: str, key: str, now: float) -> Reservation:
         """Count a request that is about to be sent."""
         reserved = Reservation(record, request_id)
-        reserved.is_trial = self.rests.begin(reserved.incarnation, now)
+        reserved.is_trial = self.backoffs.begin(reserved.incarnation, now)
         reserved.is_counted = self._limits.rate_limiter.take(reserved.incarnation, now)
         record.in_flight += 1
         if record.is_warm(key, now):
@@ -247,7 +247,7 @@
         record.in_flight -= 1
         record.warm_in_flight.pop(reserved.request_id, None)
         if reserved.is_trial:
-            self.rests.end_trial(reserved.incarnation, was_answered)
+            self.backoffs.end_trial(reserved.incarnation, was_answered)
         if reserved.is_counted and not reserved.is_sent:
             self._limits.rate_limiter.return_token(reserved.incarnation)
 
@@ -272,7 +272,10 @@
         )
 
     def _still_available(self, reserved: Reservation, now: float) -> bool:
-        if reserved.record.state != IN_USE or self.rests.remaining_s(reserved.incarnation, now) > 0:
+        if (
+            reserved.record.state != IN_USE
+            or self.backoffs.remaining_s(reserved.incarnation, now) > 0
+        ):
             return False
         if reserved.is_counted:
             return True
--- a/src/finchway/transport/_app_server.py
+++ b/src/finchway/transport/_app_server.py
@@ -74,7 +74,7 @@
             task_status.started()
             await self._listener.run()
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """Have each answer say that its connection ends; new connections are still taken."""
         self._leaving = True
 
@@ -83,7 +83,7 @@
 
         Callers that have connected, or have just been answered, have a moment to send a request.
         """
-        self.leave()
+        self.begin_drain()
         await self._listener.stop()
         if self._connections:
             await trio.sleep(NEXT_REQUEST_S)
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -18,7 +18,7 @@
     HttpServer,
     RequestLog,
     Router,
-    SuspectDesk,
+    SuspectTracker,
     UpstreamTable,
 )
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
@@ -168,7 +168,7 @@
         self.metrics = GatewayMetrics(name)
         log = RequestLog(self.view, self.decisions, self.metrics, LoopLag())
         self.reports: list[RequestReport] = []
-        self.suspects = SuspectDesk(self.view, self.table, log, self.reports.append)
+        self.suspects = SuspectTracker(self.view, self.table, log, self.reports.append)
         self.forwarder = Forwarder(
             self.view, self.table, router, NAMES, log, self.suspects, bounds.apply_within
         )
@@ -206,7 +206,7 @@
         )
         self.view.merge(feed, trio.current_time())
         if feed.limits is not None:
-            self.table.limits.learn(feed.limits.reports)
+            self.table.limits.merge(feed.limits.reports)
         self.table.refresh(trio.current_time())
 
     def configure(self, version: int = 1, limits: Limits | None = None, **fields) -> None:
@@ -265,7 +265,7 @@
     while True:
         now = trio.current_time()
         for subject in subjects:
-            limit_log.merge(subject.table.limits.told(), now)
+            limit_log.merge(subject.table.limits.reports_to_send(), now)
         for subject in subjects:
             update = limit_log.since(known[subject], now)
             if update is not None:
--- a/tests/gateway/test_graceful_stop.py
+++ b/tests/gateway/test_graceful_stop.py
@@ -195,7 +195,7 @@
         caller = server.connect()
         caller.send(REQUEST)
         await head_sent.wait()
-        server.http.leave()
+        server.http.begin_drain()
         may_end.set()
         await trio.sleep(0.01)
         assert is_whole(caller.recv(1000))
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -300,5 +300,5 @@
         await trio.sleep(0.2)
     now = trio.current_time()
     in_backoff = subject.table.regions("s", now)["north"].records["n2"]
-    subject.table.rests.start(in_backoff.registration.incarnation, 5.0, now)
+    subject.table.backoffs.start(in_backoff.registration.incarnation, 5.0, now)
     assert subject.zones_of(range(20)) == ["north-a"] * 20
--- a/tests/gateway/test_spread_during_backoff.py
+++ b/tests/gateway/test_spread_during_backoff.py
@@ -26,7 +26,7 @@
     subject = RouterUnderTest(upstreams, {"north": 56.0, "south": 20.0})
     assert await remote_fraction_after(subject, 40.0) == 0.0
     for name in ("n0", "n1", "n2"):
-        subject.table.rests.start(name, 60.0, trio.current_time())
+        subject.table.backoffs.start(name, 60.0, trio.current_time())
     soon = await remote_fraction_after(subject, WINDOW_S)
     assert 0.0 < soon <= MAX_SHIFT_PER_WINDOW
     assert 0.4 <= await remote_fraction_after(subject, 20.0) <= 0.6
@@ -43,7 +43,7 @@
     assert await remote_fraction_after(subject, 20.0) == 0.0
     now = trio.current_time()
     for name in ("n0", "n1"):
-        subject.table.rests.start(name, 10.0, now)
+        subject.table.backoffs.start(name, 10.0, now)
     for name in ("s0", "s1", "s2"):
         subject.table.get(name).in_flight = 12
     for number in range(20):
--- a/tests/gateway/test_spread_with_limits.py
+++ b/tests/gateway/test_spread_with_limits.py
@@ -16,7 +16,7 @@
 
 
 def name_limits(subject, names, rate):
-    subject.table.limits.learn([LimitReport(name, rate, 0.0) for name in names])
+    subject.table.limits.merge([LimitReport(name, rate, 0.0) for name in names])
 
 
 @on_virtual_time
--- a/tests/transport/test_app_server.py
+++ b/tests/transport/test_app_server.py
@@ -101,7 +101,7 @@
 
 def test_an_answer_says_that_its_connection_ends_once_the_server_leaves():
     async def action(server: Server) -> None:
-        server.http.leave()
+        server.http.begin_drain()
         caller = server.connect()
         caller.send(REQUEST)
         answer = await read_answer(caller)
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -85,24 +85,24 @@
     async def check(machine):
         runner = IdleRunner()
         runner.current_as_of = trio.current_time()
-        desk = FeedServer(runner, None, 1.5)
+        server = FeedServer(runner, None, 1.5)
         heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="", zone="z", region="r")
         machine.suspended += 5.0
-        return (await desk.answer(Subscribe(beat=heartbeat, revision=0))).age
+        return (await server.answer(Subscribe(beat=heartbeat, revision=0))).age
 
     assert play(check) >= 5.0
 
 
 def test_a_gateway_that_wakes_is_not_named_until_it_is_heard_again():
     async def check(machine):
-        desk = FeedServer(IdleRunner(), None, 1.5)
+        server = FeedServer(IdleRunner(), None, 1.5)
         heartbeat = GatewayHeartbeat(
             name="g", incarnation="1", address="", zone="z", region="r", ready=True
         )
-        await desk.answer(Subscribe(beat=heartbeat, revision=0))
-        assert len(desk.gateways.serving(trio.current_time())) == 1
+        await server.answer(Subscribe(beat=heartbeat, revision=0))
+        assert len(server.gateways.serving(trio.current_time())) == 1
         machine.suspended += 5.0
-        assert desk.gateways.serving(trio.current_time()) == []
+        assert server.gateways.serving(trio.current_time()) == []
 
     play(check)
 
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -136,7 +136,7 @@
     view = ClusterView()
     table = UpstreamTable("g", lambda: {"z": "r"}, view, Bounds(), DecisionLog("g", LogWriter()))
     ended = []
-    table.watch_replaced(ended.append)
+    table.on_replaced(ended.append)
     records = []
     for order, born in enumerate((FIRST, SECOND)):
         upstreams = [UpstreamHeartbeat(heartbeat(1, born), 0.0)]
