--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -69,8 +69,10 @@
             now = "evacuated" if evacuation.active else "in use"
             self._note_belief(f"zone/{evacuation.zone}", now, evacuation.revision)
         for suspect in feed.image.suspects:
-            crashed = ", ".join(suspect.crashed_upstreams) or "none"
-            source = f"control; ends: {suspect.crashes}, newest: {crashed}"
+            source = (
+                f"control; ends: {suspect.crashes}, "
+                f"newest: {', '.join(suspect.crashed_upstreams) or 'none'}"
+            )
             self._note_belief(
                 f"request/{suspect.request}", suspect.state.value, suspect.revision, source
             )
--- a/src/finchway/gateway/_fingerprint.py
+++ b/src/finchway/gateway/_fingerprint.py
@@ -23,7 +23,7 @@
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     caller = request.header(CREDENTIAL_HEADER) or ""
-    length = (request.header(b"content-length") or "") if request.more else ""
+    length = (request.header(b"content-length") or "") if request.is_streamed else ""
     for text in (caller, request.method, request.host, request.target, length):
         data = text.encode()
         digest.update(len(data).to_bytes(_LENGTH_BYTES, "big"))
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -140,7 +140,7 @@
             tried=set(),
             has_key=bool(key),
         )
-        if not request.more:
+        if not request.is_streamed:
             context.is_read.set()
         return context
 
@@ -155,7 +155,7 @@
         if clearance is Clearance.REFUSED:
             await self._refuse_quarantined(connection, context)
             return
-        context.once = clearance is Clearance.ONCE
+        context.at_most_once = clearance is Clearance.ONCE
         self._router.count_request(context, trio.current_time())
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
@@ -228,14 +228,14 @@
 
     def _retry_denial(self, context: RequestContext, outcome: Outcome, now: float) -> str:
         """Return why no further attempt may be made; empty if one may."""
-        if context.request.more:
+        if context.request.is_streamed:
             return "the body was streamed"
         may_have_run = outcome.verdict is Verdict.UNKNOWN
         if may_have_run and context.route.type is not RouteType.SAFE:
             return "it may have run and must not run twice"
         if context.deadline - now < _MIN_ATTEMPT_S:
             return "no time left"
-        if may_have_run and (context.once or not self._suspects.may_retry(context, now)):
+        if may_have_run and (context.at_most_once or not self._suspects.may_retry(context, now)):
             return "upstreams have ended under it"
         return ""
 
@@ -243,7 +243,7 @@
         self, connection: CallerConnection, context: RequestContext, choice: Choice
     ) -> Outcome:
         record = choice.record
-        context.asked = NO_PUSHBACK
+        context.pushback = NO_PUSHBACK
         now = started = trio.current_time()
         reserved = self._table.reserve(record, context.request_id, context.key, now)
         upstream = None
@@ -321,7 +321,7 @@
         request = context.request
         headers = self._headers(context, record)
         on_head = functools.partial(self._note_head, context, record, sent_at)
-        if not request.more:
+        if not request.is_streamed:
             await upstream.send(request.method, request.target, headers, request.body)
             return await upstream.receive(self._names.request_id, context.request_id, on_head)
         await upstream.send_start(request.method, request.target, headers, request.body)
@@ -344,7 +344,7 @@
             self._table.limits.note(record.registration.incarnation, pushback, sent_at, now)
         if pushback is NO_PUSHBACK:
             return
-        context.asked = pushback
+        context.pushback = pushback
         self._table.note_pushback(record, pushback, now)
         self._log.count_pushback(context)
 
@@ -363,7 +363,7 @@
         kept.append((names.deadline_ms, str(left_ms).encode()))
         kept.append((names.expected_instance, record.registration.instance.encode()))
         framed = any(name == b"content-length" for name, _ in kept)
-        if not framed and request.more:
+        if not framed and request.is_streamed:
             kept.append((b"transfer-encoding", b"chunked"))
         elif not framed and (request.body or request.method not in ("GET", "HEAD")):
             kept.append((b"content-length", str(len(request.body)).encode()))
@@ -391,7 +391,7 @@
         if answer.status == 421:
             record.note_failure(now)
             record.close_idle()
-        elif context.asked.backoff_s > 0:
+        elif context.pushback.backoff_s > 0:
             # The upstream requested a backoff, so its free slots must not be used for the retry.
             record.back_off(now, SHED_BACKOFF_S)
         elif self._router.note_refused(record, now):
@@ -418,8 +418,8 @@
             return
         out_of_time = trio.current_time() >= context.deadline
         if outcome.verdict is Verdict.NOT_RUN and not (out_of_time and context.attempts):
-            context.back_in = self._router.available_in(context, trio.current_time())
-            reply = _retry_later(503, context.back_in)
+            context.available_in_s = self._router.available_in(context, trio.current_time())
+            reply = _retry_later(503, context.available_in_s)
         else:
             reply = Reply(504 if out_of_time else 502)
         self._log.note_ended(context, reply.status, outcome.detail)
--- a/src/finchway/gateway/_http.py
+++ b/src/finchway/gateway/_http.py
@@ -44,7 +44,7 @@
 
 
 class CallerRequest(Struct):
-    """A caller's request; if `more` is set, `body` has only the first part of a long body.
+    """A caller's request; if `is_streamed` is set, `body` has only the first part of a long body.
 
     `caller` is the remote address without the port.
     """
@@ -55,7 +55,7 @@
     headers: Headers
     body: bytes
     arrived_at: float
-    more: bool = False
+    is_streamed: bool = False
     caller: str = ""
 
     @property
@@ -178,7 +178,7 @@
                 await self.reply(Reply(413), close=True)
                 return None
             if size > BUFFERED_BODY_BYTES:
-                request.more = True
+                request.is_streamed = True
                 break
         request.body = b"".join(parts)
         return request
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -71,7 +71,7 @@
                 attempts=context.attempts,
                 ms=_ms(now - request.arrived_at),
                 budget_ms=_ms(context.deadline - request.arrived_at),
-                back_ms=_ms(context.back_in) or None,
+                back_ms=_ms(context.available_in_s) or None,
                 digest="" if 0 < status < 400 else context.digest,
                 revision=self._view.steering.revision,
                 heard_ms=_ms(now - self._view.last_contact_at),
@@ -94,32 +94,32 @@
                 zone=registration.zone,
                 region=choice.region,
                 reason=choice.reason.value,
-                busy=round(choice.busy, 1),
+                busy=round(choice.estimated_load, 1),
                 slots=registration.slots,
                 report_ms=_ms(choice.report_age),
-                heard_ms=_ms(choice.heard_age),
-                kept=round(choice.kept_part, 3),
-                choices=context.choices,
+                heard_ms=_ms(choice.feed_age),
+                kept=round(choice.local_share, 3),
+                choices=context.upstream_count,
                 result=outcome.verdict.value,
                 detail=outcome.detail,
                 digest=context.fingerprint if outcome.verdict is Verdict.UNKNOWN else "",
-                passed_over=choice.passed.resting,
-                rest_left_ms=_ms(choice.rest_left) or None,
-                asked_ms=_ms(context.asked.backoff_s) or None,
-                leaving=context.asked.leaving,
+                passed_over=choice.skipped.in_backoff,
+                rest_left_ms=_ms(choice.backoff_left) or None,
+                asked_ms=_ms(context.pushback.backoff_s) or None,
+                leaving=context.pushback.leaving,
                 limit=choice.limit,
                 limit_ms=None if choice.limit is None else _ms(choice.limit_age),
                 limit_part=None if choice.part is None else round(choice.part.rate, 3),
                 limit_holders=0 if choice.part is None else choice.part.holders,
-                at_limit=choice.passed.at_limit,
-                named_limit=context.asked.limit,
+                at_limit=choice.skipped.at_limit,
+                named_limit=context.pushback.limit,
                 ms=_ms(trio.current_time() - started),
             )
         )
 
     def count_pushback(self, context: RequestContext) -> None:
         """Count the pushback of an answer by kind."""
-        pushback = context.asked
+        pushback = context.pushback
         if pushback.backoff_s > 0:
             self._metrics.count_asked(context.service, "rest")
         if pushback.leaving:
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -97,7 +97,7 @@
             estimate.note_answer(seconds, context.route.target_latency)
             if is_warm and not record.outlier_state.is_suspect:
                 plan.note_warm_answer(choice.region, seconds)
-        if context.request.more:
+        if context.request.is_streamed:
             return
         is_slow = seconds > estimate.slow_after
         if status >= 500:
@@ -129,7 +129,7 @@
     def choose(self, context: RequestContext, now: float) -> Choice | None:
         """Return the upstream for an attempt, or None with the reason in `context.refusal`."""
         regions = self._allowed_regions(context, now)
-        context.choices = sum(len(upstreams.names) for upstreams in regions.values())
+        context.upstream_count = sum(len(upstreams.names) for upstreams in regions.values())
         if not regions:
             context.refusal = "no upstream"
             return None
@@ -204,14 +204,14 @@
             if name in context.tried:
                 continue
             if not self._table.is_available(record, now):
-                skipped.resting += backoffs.remaining_s(record.registration.incarnation, now) > 0
+                skipped.in_backoff += backoffs.remaining_s(record.registration.incarnation, now) > 0
                 skipped.at_limit += (
                     self._table.limits.rate_limiter.wait(record.registration.incarnation, now) > 0
                 )
                 continue
             if name in outliers and not record.outlier_state.may_try(now):
                 continue
-            if context.request.more and backoffs.is_awaiting_trial(
+            if context.request.is_streamed and backoffs.is_awaiting_trial(
                 record.registration.incarnation, now
             ):
                 # A streamed body cannot be sent again if the trial request is refused.
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -203,7 +203,7 @@
             if reported.service == self._service
         }
         # Upstreams in backoff, or beyond their named limits, would refuse the requests.
-        excluded = self.outliers(now) | self._table.resting(now)
+        excluded = self.outliers(now) | self._table.backed_off(now)
         rate_per_slot = TARGET_UTILISATION / self._estimate.service_time
         capacity = {
             region: found.capacity(rate_per_slot, excluded, self._table.limits.named)
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -60,7 +60,7 @@
 class _LocalEvidence(Struct):
     """Number of upstreams that crashed under a request, and the time of the latest crash."""
 
-    ends: int
+    crashes: int
     last_at: float
 
 
@@ -100,7 +100,7 @@
             return Clearance.FREE
         shared = self._shared_suspect(context)
         local = self._local_crashes(context, now)
-        crashes = context.evidence.known = max(local, shared.crashes if shared else 0)
+        crashes = context.evidence.crashes_before = max(local, shared.crashes if shared else 0)
         if shared is not None and shared.state is SuspectState.QUARANTINED:
             return Clearance.REFUSED
         if local >= QUARANTINE_THRESHOLD and (shared is None or local > shared.crashes):
@@ -119,7 +119,7 @@
         shared = self._shared_suspect(context)
         return (
             max(self._local_crashes(context, now), shared.crashes if shared else 0)
-            <= context.evidence.seen
+            <= context.evidence.crashes_since
         )
 
     def retry_after(self, context: RequestContext) -> float:
@@ -231,10 +231,10 @@
         evidence = context.evidence
         if evidence.is_answered:
             return
-        evidence.seen += 1
-        evidence.last = record.registration.incarnation
+        evidence.crashes_since += 1
+        evidence.last_crashed = record.registration.incarnation
         earlier = self._local_evidence.pop(context.fingerprint, None)
-        crashes = max(evidence.crashes, earlier.ends if earlier else 0)
+        crashes = max(evidence.crashes, earlier.crashes if earlier else 0)
         self._local_evidence[context.fingerprint] = _LocalEvidence(crashes, now)
         if len(self._local_evidence) > MAX_EVIDENCE:
             del self._local_evidence[next(iter(self._local_evidence))]
@@ -245,8 +245,10 @@
 
     def _report_crashes(self, context: RequestContext) -> None:
         evidence = context.evidence
-        if evidence.is_over and evidence.seen and not evidence.is_answered:
-            self._report(RequestReport(context.fingerprint, evidence.crashes, evidence.last))
+        if evidence.is_over and evidence.crashes_since and not evidence.is_answered:
+            self._report(
+                RequestReport(context.fingerprint, evidence.crashes, evidence.last_crashed)
+            )
 
     def _cancel_quarantined(self, quarantined: set[str]) -> None:
         for context in [
@@ -267,7 +269,7 @@
         if now - evidence.last_at > EVIDENCE_TTL_S:
             del self._local_evidence[context.fingerprint]
             return 0
-        return evidence.ends
+        return evidence.crashes
 
     def _has_no_suspects(self) -> bool:
         """Return whether no request is suspect, so that none needs a fingerprint."""
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -204,7 +204,7 @@
         """Return whether a later incarnation of the upstream has started."""
         return record.state == REPLACED
 
-    def resting(self, now: float) -> frozenset[str]:
+    def backed_off(self, now: float) -> frozenset[str]:
         """Return the upstreams that are in a backoff that they requested."""
         incarnations = self.backoffs.backed_off(now)
         return frozenset(
--- a/src/finchway/gateway/_task.py
+++ b/src/finchway/gateway/_task.py
@@ -17,31 +17,31 @@
 class CrashEvidence(Struct):
     """Upstreams that have crashed under a request.
 
-    `known` counts those known when the request arrived, `seen` those since, and `last` is the
-    incarnation of the latest. `is_over` is set after the last attempt, and `is_answered` once an
-    upstream has run the request without a crash.
+    `crashes_before` counts those known when the request arrived, `crashes_since` those since, and
+    `last_crashed` is the incarnation of the latest. `is_over` is set after the last attempt, and
+    `is_answered` once an upstream has run the request without a crash.
     """
 
-    known: int = 0
-    seen: int = 0
-    last: str = ""
+    crashes_before: int = 0
+    crashes_since: int = 0
+    last_crashed: str = ""
     is_over: bool = False
     is_answered: bool = False
 
     @property
     def crashes(self) -> int:
         """Total number of upstreams that have crashed under it."""
-        return self.known + self.seen
+        return self.crashes_before + self.crashes_since
 
 
 class RequestContext(Struct, eq=False):
     """A request in progress; `refusal` is the reason why no upstream was chosen.
 
     `has_key` is set if the caller sent an affinity key; otherwise `key` is the request's id.
-    `is_read` is set once the request has been read completely. With `once`, it is not retried if
-    it may have run. Cancelling `scope` ends the attempts; `is_quarantined` marks a cancellation
-    because of the quarantine. `asked` is the pushback in the answer of the last attempt. `back_in`
-    are the seconds until an upstream is available, if none is.
+    `is_read` is set once the request has been read completely. With `at_most_once`, it is not
+    retried if it may have run. Cancelling `scope` ends the attempts; `is_quarantined` marks a
+    cancellation because of the quarantine. `pushback` is that in the answer of the last attempt.
+    `available_in_s` are the seconds until an upstream is available, if none is.
     """
 
     request: CallerRequest
@@ -52,18 +52,18 @@
     key: str
     deadline: float
     attempts: int = 0
-    choices: int = 0
+    upstream_count: int = 0
     refusal: str = ""
     tried: set[str] = set()
     has_key: bool = True
     is_read: trio.Event = field(default_factory=trio.Event)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    once: bool = False
+    at_most_once: bool = False
     is_quarantined: bool = False
     evidence: CrashEvidence = field(default_factory=CrashEvidence)
     digest: str = ""
-    asked: Pushback = NO_PUSHBACK
-    back_in: float = 0.0
+    pushback: Pushback = NO_PUSHBACK
+    available_in_s: float = 0.0
 
     @property
     def fingerprint(self) -> str:
@@ -91,31 +91,31 @@
 class SkippedUpstreams(Struct):
     """Numbers of upstreams that were skipped before one was chosen, over all regions tried.
 
-    `resting` counts those in a requested backoff, `at_limit` those at their named limit.
+    `in_backoff` counts those in a requested backoff, `at_limit` those at their named limit.
     """
 
-    resting: int = 0
+    in_backoff: int = 0
     at_limit: int = 0
 
 
 class Choice(Struct):
     """An upstream for one attempt, and the data that the choice is based on.
 
-    `busy` is its estimated load from a report that was `report_age` seconds old, `heard_age` the
-    age of the latest feed, and `kept_part` the share of the service's requests that the home region
-    handles itself. `rest_left` are the seconds left of a backoff that it requested. `limit` is the
-    rate limit that it has named, if any, `limit_age` its age, and `part` this gateway's share.
+    `estimated_load` is from a report that was `report_age` seconds old, `feed_age` the age of the
+    latest feed, and `local_share` the share of the service's requests that the home region handles
+    itself. `backoff_left` are the seconds left of a backoff that it requested. `limit` is the rate
+    limit that it has named, if any, `limit_age` its age, and `part` this gateway's share.
     """
 
     record: UpstreamRecord
     region: str
     reason: ChoiceReason
-    busy: float
+    estimated_load: float
     report_age: float
-    heard_age: float
-    kept_part: float
-    rest_left: float = 0.0
-    passed: SkippedUpstreams = field(default_factory=SkippedUpstreams)
+    feed_age: float
+    local_share: float
+    backoff_left: float = 0.0
+    skipped: SkippedUpstreams = field(default_factory=SkippedUpstreams)
     limit: float | None = None
     limit_age: float = 0.0
     part: Part | None = None
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -243,7 +243,7 @@
 async def test_choice_carries_its_reason_and_inputs():
     subject = RouterUnderTest([registration(f"n{n}", "north-a", slots=4) for n in range(5)])
     first = subject.router.choose(subject.context("a"), trio.current_time())
-    assert (first.reason, first.region, first.busy) == (ChoiceReason.HOME, "north", 0.0)
+    assert (first.reason, first.region, first.estimated_load) == (ChoiceReason.HOME, "north", 0.0)
     assert first.report_age == float("inf")
     first.record.note_load(running=4, waiting=5, now=trio.current_time())
     await trio.sleep(0.1)
--- a/tests/gateway/test_spread_with_limits.py
+++ b/tests/gateway/test_spread_with_limits.py
@@ -30,7 +30,7 @@
     soon = await remote_fraction_after(subject, WINDOW_S)
     assert 0.0 < soon <= MAX_SHIFT_PER_WINDOW
     assert await remote_fraction_after(subject, 20.0) > soon
-    local_share = subject.router.choose(subject.context("k"), trio.current_time()).kept_part
+    local_share = subject.router.choose(subject.context("k"), trio.current_time()).local_share
     assert abs(local_share - 34 / 56) < 0.02
     name_limits(subject, ("n0", "n1", "n2"), None)
     assert await remote_fraction_after(subject, 40.0) == 0.0
@@ -57,4 +57,4 @@
     for number in range(5):
         choice = subject.router.choose(subject.context(f"k-{number}"), now)
         assert choice is not None
-        assert (choice.region, choice.passed.at_limit) == ("south", 1)
+        assert (choice.region, choice.skipped.at_limit) == ("south", 1)
--- a/tests/unit/test_fingerprint.py
+++ b/tests/unit/test_fingerprint.py
@@ -40,7 +40,7 @@
 
 def test_declared_length_distinguishes_streamed_bodies_with_the_same_start():
     def streamed(length):
-        return replace(REQUEST, headers=[(b"content-length", length)], more=True)
+        return replace(REQUEST, headers=[(b"content-length", length)], is_streamed=True)
 
     assert fingerprint(streamed(b"10")) != fingerprint(streamed(b"11"))
     assert fingerprint(streamed(b"10")) == fingerprint(streamed(b"10"))
