--- a/bench/surroundings.py
+++ b/bench/surroundings.py
@@ -11,7 +11,7 @@
 
 from bench.history import Ran, Shift
 from bench.shapes import Shape
-from finchway.entry import Facts, UpstreamError
+from finchway.entry import ResponseMetadata, UpstreamError
 from finchway.entry._probe import HEALTH_PATH
 from finchway.exceptions import FinchwayError, TransportError
 from finchway.membership import Coordinator, Heartbeat, LeaseTiming, changes_since
@@ -256,10 +256,10 @@
         health = {"load": self.report, "leaving": leaving, "incarnation": self.incarnation}
         return msgspec.json.encode(health).decode()
 
-    def facts(self) -> Facts:
+    def metadata(self) -> ResponseMetadata:
         """What the upstream says of itself."""
         pushback = Pushback(leaving=self.leaving and not self.misleading)
-        return Facts(self.incarnation, self.report, pushback=pushback)
+        return ResponseMetadata(self.incarnation, self.report, pushback=pushback)
 
 
 class Surroundings(Protocol):
@@ -295,7 +295,7 @@
             await trio.sleep_forever()
         if target == HEALTH_PATH:
             await trio.sleep(delay)
-            yield WorldReply(upstream.facts(), upstream.health())
+            yield WorldReply(upstream.metadata(), upstream.health())
             return
         call, key = _fields(headers)
         upstream.in_flight += 1
@@ -323,7 +323,7 @@
         if upstream.cut_every and upstream.served % upstream.cut_every == 0:
             raise UpstreamError(Outcome.UNKNOWN, f"{address} cut its answer")
         await trio.sleep(delay)
-        yield WorldReply(upstream.facts(), call)
+        yield WorldReply(upstream.metadata(), call)
 
     async def keep_only(self, addresses: set[str]) -> None:
         """Do nothing: the fake keeps no connections."""
@@ -332,8 +332,8 @@
 class WorldReply:
     """An answer of a fake upstream: it names the call that it belongs to."""
 
-    def __init__(self, facts: Facts, call: str) -> None:
-        self.facts = facts
+    def __init__(self, metadata: ResponseMetadata, call: str) -> None:
+        self.metadata = metadata
         self.status = 200
         self.headers: list = []
         self._call = call
--- a/bench/world.py
+++ b/bench/world.py
@@ -32,7 +32,7 @@
     Answer,
     Call,
     CallError,
-    ClaimDesk,
+    ClaimClient,
     ControlSession,
     Dispatcher,
     EntryIdentity,
@@ -129,11 +129,11 @@
         self.world.network.regions[self.peer] = self.region
         with self.scope:
             async with trio.open_nursery() as nursery:
-                desk = ClaimDesk(self.identity.holder, self.session.submit, nursery)
+                claims = ClaimClient(self.identity.holder, self.session.submit, nursery)
                 self.dispatcher = Dispatcher(
                     self.view,
                     self.client,
-                    desk,
+                    claims,
                     self.timeline,
                     self.metrics,
                     lambda: not self.session.is_isolated,
@@ -146,7 +146,7 @@
                     self.timeline,
                     self.world.platform_list,
                     self.name,
-                    lambda: self.session.is_in_touch,
+                    lambda: self.session.is_leader_reachable,
                 )
                 nursery.start_soon(self.dispatcher.run)
                 nursery.start_soon(prober.run)
@@ -171,7 +171,7 @@
         while self.active:
             await trio.sleep(0.05)
         self.closed = True
-        await self.session.beat(stopped=True)
+        await self.session.send_heartbeat(stopped=True)
         self.kill()
 
     def kill(self) -> None:
--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -124,7 +124,7 @@
         self._timeline.record(EventKind.STOPPING, self._settings.instance)
         if self._entry is not None:
             self._entry_server.begin_drain()
-            await self._entry.leave(self._settings.drain_limit_s, self._entry_server.stop)
+            await self._entry.drain_and_stop(self._settings.drain_limit_s, self._entry_server.stop)
         if self._gateway is not None:
             await self._gateway.leave()
         if self._control is not None:
--- a/src/finchway/entry/__init__.py
+++ b/src/finchway/entry/__init__.py
@@ -1,8 +1,8 @@
 """The entry role: answers steering requests and proxies requests to upstreams."""
 
 from finchway.entry._app import EntryApp, EntryState
-from finchway.entry._call import Answer, Body, Call, CallError, Facts, UpstreamError
-from finchway.entry._claims import ClaimDesk
+from finchway.entry._call import Answer, Body, Call, CallError, ResponseMetadata, UpstreamError
+from finchway.entry._claims import ClaimClient
 from finchway.entry._dispatch import Dispatcher
 from finchway.entry._probe import Prober, platform_source
 from finchway.entry._role import EntryRole
@@ -15,7 +15,7 @@
     "Body",
     "Call",
     "CallError",
-    "ClaimDesk",
+    "ClaimClient",
     "ControlSession",
     "Dispatcher",
     "EntryApp",
@@ -23,7 +23,7 @@
     "EntryRole",
     "EntryState",
     "EntryView",
-    "Facts",
+    "ResponseMetadata",
     "Prober",
     "UpstreamClient",
     "UpstreamError",
--- a/src/finchway/entry/_call.py
+++ b/src/finchway/entry/_call.py
@@ -56,7 +56,7 @@
     region: str = ""
 
 
-class Facts(Struct, frozen=True):
+class ResponseMetadata(Struct, frozen=True):
     """What a response's headers report about the upstream, and what they request of the sender."""
 
     incarnation: str = ""
--- a/src/finchway/entry/_claims.py
+++ b/src/finchway/entry/_claims.py
@@ -41,7 +41,7 @@
     complete: bool = True
 
 
-class ClaimDesk:
+class ClaimClient:
     """Claims idempotency keys for one incarnation of an entry."""
 
     def __init__(self, holder: str, submit: Submit, nursery: trio.Nursery) -> None:
--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -19,12 +19,12 @@
     Body,
     Call,
     CallError,
-    Facts,
     Headers,
+    ResponseMetadata,
     UpstreamError,
     refused,
 )
-from finchway.entry._claims import MAX_STORED_BYTES, ClaimDesk
+from finchway.entry._claims import MAX_STORED_BYTES, ClaimClient
 from finchway.entry._view import EntryView
 from finchway.observe import EventKind, Metrics, Timeline
 from finchway.policy import (
@@ -76,7 +76,7 @@
         self,
         view: EntryView,
         client,
-        claims: ClaimDesk,
+        claims: ClaimClient,
         timeline: Timeline,
         metrics: Metrics,
         may_serve: Callable[[], bool],
@@ -310,10 +310,10 @@
             grant.address, call.method, call.target, headers, content, may_send
         )
         async with opened as reply:
-            self._record_metadata(call.service, grant.address, reply.facts)
+            self._record_metadata(call.service, grant.address, reply.metadata)
             if is_own_answer(reply.status):
-                self._record_limit(call.service, grant.address, reply.facts.pushback, sent_at)
-            if reply.facts.not_run:
+                self._record_limit(call.service, grant.address, reply.metadata.pushback, sent_at)
+            if reply.metadata.not_run:
                 self._view.directory.record_refusal(grant.address, trio.current_time())
                 raise UpstreamError(
                     Outcome.NOT_RUN,
@@ -364,7 +364,7 @@
             headers.append((b"transfer-encoding", b"chunked"))
         return headers
 
-    def _record_metadata(self, service: str, address: str, metadata: Facts) -> None:
+    def _record_metadata(self, service: str, address: str, metadata: ResponseMetadata) -> None:
         now = trio.current_time()
         directory = self._view.directory
         directory.record_incarnation(address, metadata.incarnation, now)
--- a/src/finchway/entry/_role.py
+++ b/src/finchway/entry/_role.py
@@ -10,7 +10,7 @@
 
 from finchway._settings import Settings
 from finchway.entry._app import EntryApp, EntryState
-from finchway.entry._claims import ClaimDesk
+from finchway.entry._claims import ClaimClient
 from finchway.entry._dispatch import Dispatcher
 from finchway.entry._probe import Prober, platform_source
 from finchway.entry._session import ControlSession, EntryIdentity
@@ -69,7 +69,7 @@
         self.started = trio.Event()
         self.app: EntryApp | None = None
         self._dispatcher: Dispatcher | None = None
-        self._claims: ClaimDesk | None = None
+        self._claims: ClaimClient | None = None
 
     async def run(self) -> None:
         """Run the entry's background tasks until cancelled."""
@@ -77,7 +77,7 @@
         platform = settings.platform_address
         source = platform_source(platform) if platform else None
         async with trio.open_nursery() as nursery:
-            self._claims = ClaimDesk(self._identity.holder, self.session.submit, nursery)
+            self._claims = ClaimClient(self._identity.holder, self.session.submit, nursery)
             self._dispatcher = Dispatcher(
                 self._view,
                 self._client,
@@ -99,14 +99,16 @@
                 self._timeline,
                 source,
                 settings.instance,
-                lambda: self.session.is_in_touch,
+                lambda: self.session.is_leader_reachable,
             )
             nursery.start_soon(self.session.run)
             nursery.start_soon(self._dispatcher.run)
             nursery.start_soon(prober.run)
             self.started.set()
 
-    async def leave(self, limit_s: float, stop_server: Callable[[], Awaitable[None]]) -> None:
+    async def drain_and_stop(
+        self, limit_s: float, stop_server: Callable[[], Awaitable[None]]
+    ) -> None:
         """Shut down gracefully within `limit_s`.
 
         Withdraws from steering answers, waits until cached ones have expired and completes
@@ -114,7 +116,7 @@
         """
         self.session.start_leaving()
         with trio.move_on_after(limit_s):
-            await self.session.beat()
+            await self.session.send_heartbeat()
             max_ttl_s = max(
                 (s.spec.steer_ttl_ms / 1000 for s in self._view.store.of_kind("service")),
                 default=0.0,
@@ -124,7 +126,7 @@
             while self.app.concurrent_requests or self._claims.unsettled:
                 await trio.sleep(0.05)
         with trio.move_on_after(1.0):
-            await self.session.beat(stopped=True)
+            await self.session.send_heartbeat(stopped=True)
 
     def _update_metrics(self) -> None:
         self._metrics.set_state("revision", self._view.revision)
--- a/src/finchway/entry/_session.py
+++ b/src/finchway/entry/_session.py
@@ -104,7 +104,7 @@
         return trio.current_time() < self._lease_until
 
     @property
-    def is_in_touch(self) -> bool:
+    def is_leader_reachable(self) -> bool:
         """Whether the leader responded recently, so that changes and limits still arrive."""
         return trio.current_time() - self._last_reply_at < REPLY_FRESH_S
 
@@ -133,12 +133,12 @@
     async def _send_heartbeats(self) -> None:
         while True:
             started = trio.current_time()
-            await self.beat()
+            await self.send_heartbeat()
             self._record_lease_change()
             left = self._timing.interval - (trio.current_time() - started)
             await trio.sleep(max(0.01, left))
 
-    async def beat(self, stopped: bool = False) -> bool:
+    async def send_heartbeat(self, stopped: bool = False) -> bool:
         """Send one heartbeat and apply the reply; return False if there was none."""
         heartbeat = self._heartbeat(stopped)
         sent_at = trio.current_time()
--- a/src/finchway/entry/_upstream.py
+++ b/src/finchway/entry/_upstream.py
@@ -14,7 +14,7 @@
 import trio
 
 from finchway._clock import WALL
-from finchway.entry._call import Facts, Headers, UpstreamError
+from finchway.entry._call import Headers, ResponseMetadata, UpstreamError
 from finchway.policy import Outcome
 from finchway.pushback import read_pushback
 
@@ -29,13 +29,13 @@
 class Reply:
     """An upstream's response with an unread body."""
 
-    __slots__ = ("_response", "facts", "headers", "status")
+    __slots__ = ("_response", "metadata", "headers", "status")
 
     def __init__(self, response: httpcore.Response) -> None:
         self._response = response
         self.status = response.status
         self.headers = response.headers
-        self.facts = read_facts(response.status, response.headers)
+        self.metadata = read_metadata(response.status, response.headers)
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the body; raise `UpstreamError` if it is truncated."""
@@ -158,7 +158,7 @@
             await connection.aclose()
 
 
-def read_facts(status: int, headers: Headers) -> Facts:
+def read_metadata(status: int, headers: Headers) -> ResponseMetadata:
     """Read the finchway headers and the pushback from an upstream's response headers."""
     incarnation, load, not_run = "", None, False
     lowered = [(name.lower(), value) for name, value in headers]
@@ -171,7 +171,7 @@
             case b"finchway-outcome":
                 not_run = status == 503 and value == b"not-run"
     pushback = read_pushback(status, lowered, _LEAVING_HEADER, _LIMIT_HEADER, WALL.now())
-    return Facts(incarnation, load, not_run, pushback)
+    return ResponseMetadata(incarnation, load, not_run, pushback)
 
 
 def _number(value: bytes) -> float | None:
--- a/tests/unit/test_claim_desk.py
+++ b/tests/unit/test_claim_desk.py
@@ -5,7 +5,7 @@
 import trio
 
 from bench.virtual import run_virtual
-from finchway.entry import Call, ClaimDesk
+from finchway.entry import Call, ClaimClient
 from finchway.exceptions import UnavailableError
 from finchway.state import Claimed, ClaimState, Done
 
@@ -42,13 +42,13 @@
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            desk = ClaimDesk("e1@1", submit, nursery)
-            assert not await desk.release(make_call(), "a1")
+            claims = ClaimClient("e1@1", submit, nursery)
+            assert not await claims.release(make_call(), "a1")
             assert (
                 trio.current_time() <= 1.0
             ), "the caller waited for longer than the submit timeout"
-            assert desk.unsettled == 1
-            while desk.unsettled:
+            assert claims.unsettled == 1
+            while claims.unsettled:
                 await trio.sleep(0.1)
 
     run_virtual(main)
@@ -62,8 +62,8 @@
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            desk = ClaimDesk("e1@1", submit, nursery)
-            assert await desk.release(make_call(), "a1")
-            assert desk.unsettled == 0
+            claims = ClaimClient("e1@1", submit, nursery)
+            assert await claims.release(make_call(), "a1")
+            assert claims.unsettled == 0
 
     run_virtual(main)
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -127,12 +127,12 @@
             10.0,
             lambda: 0,
         )
-        assert await session.beat()
-        assert session.has_lease and session.is_in_touch
+        assert await session.send_heartbeat()
+        assert session.has_lease and session.is_leader_reachable
         machine.suspended += 5.0
         assert not session.has_lease
-        assert not session.is_in_touch
-        assert await session.beat()
+        assert not session.is_leader_reachable
+        assert await session.send_heartbeat()
         assert session.has_lease
 
     play(check)
