--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -28,15 +28,15 @@
         self._metrics = metrics
         self._lag = lag
 
-    def note_lost(self, address: str) -> None:
+    def record_lost(self, address: str) -> None:
         """Log that a replica has stopped answering."""
         self._decisions.write(ProcessChanged(change="lost", detail=f"replica {address}"))
 
-    def note_regained(self, address: str) -> None:
+    def record_regained(self, address: str) -> None:
         """Log that a replica answers again, or for the first time."""
         self._decisions.write(ProcessChanged(change="regained", detail=f"replica {address}"))
 
-    def note_answer(
+    def record_answer(
         self, address: str, request: Subscribe, sent_at: float, answer: Feed, late_after: float
     ) -> None:
         """Count an answer; log it if it is slow, late, or the first of a replica's incarnation."""
@@ -53,27 +53,27 @@
             return
         self._write(address, request, outcome, seconds, answer)
 
-    def note_failed(self, address: str, request: Subscribe, sent_at: float) -> None:
+    def record_failed(self, address: str, request: Subscribe, sent_at: float) -> None:
         """Count and log a poll that got no answer."""
         self._metrics.count_feed(None)
         seconds = trio.current_time() - sent_at
         self._write(address, request, FeedOutcome.GIVEN_UP, seconds, None)
 
-    def note_applied(self, feed: Feed, before: int, revision: int) -> None:
+    def record_applied(self, feed: Feed, before: int, revision: int) -> None:
         """Log the changes in an answer since the revision `before`."""
         for held in feed.image.items:
-            self._note_belief(held.item.key, f"version {held.item.version}", held.revision)
+            self._record_belief(held.item.key, f"version {held.item.version}", held.revision)
         for mark in feed.image.marks:
-            self._note_belief(f"upstream/{mark.incarnation}", mark.kind.value, mark.revision)
+            self._record_belief(f"upstream/{mark.incarnation}", mark.kind.value, mark.revision)
         for evacuation in feed.image.evacuations:
             now = "evacuated" if evacuation.active else "in use"
-            self._note_belief(f"zone/{evacuation.zone}", now, evacuation.revision)
+            self._record_belief(f"zone/{evacuation.zone}", now, evacuation.revision)
         for suspect in feed.image.suspects:
             source = (
                 f"control; ends: {suspect.crashes}, "
                 f"newest: {', '.join(suspect.crashed_upstreams) or 'none'}"
             )
-            self._note_belief(
+            self._record_belief(
                 f"request/{suspect.request}", suspect.state.value, suspect.revision, source
             )
         self._decisions.write(
@@ -86,7 +86,9 @@
             )
         )
 
-    def _note_belief(self, subject: str, now: str, revision: int, source: str = "control") -> None:
+    def _record_belief(
+        self, subject: str, now: str, revision: int, source: str = "control"
+    ) -> None:
         self._decisions.write(
             BeliefChanged(subject=subject, now=now, source=source, revision=revision)
         )
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -110,7 +110,7 @@
         self, connection: CallerConnection, request: CallerRequest, reply: Reply, reason: str
     ) -> None:
         request_id = request.header(self._names.request_id) or ""
-        self._log.note_refused(request, request_id, reply.status, reason)
+        self._log.record_refused(request, request_id, reply.status, reason)
         await connection.reply(reply)
 
     def _make_context(
@@ -149,7 +149,7 @@
         outcome = Outcome(Verdict.LEFT)
         if connection.has_left:
             # After a stall, a gateway must not send the backlog of departed callers upstream.
-            self._log.note_ended(context, 0, "the caller had left")
+            self._log.record_ended(context, 0, "the caller had left")
             raise CallerLeftError
         clearance = self._suspects.clearance(context, trio.current_time())
         if clearance is Clearance.REFUSED:
@@ -169,7 +169,7 @@
             verdict = Verdict.UNKNOWN if context.attempts else Verdict.NOT_RUN
             outcome = Outcome(verdict, "quarantined while in flight")
         if left.is_set() and outcome.answer is None:
-            self._log.note_ended(context, 0, "the caller left")
+            self._log.record_ended(context, 0, "the caller left")
             raise CallerLeftError
         await self._reply(connection, context, outcome)
 
@@ -182,7 +182,7 @@
         request crashes upstreams.
         """
         after = self._suspects.retry_after(context)
-        self._log.note_quarantined(context)
+        self._log.record_quarantined(context)
         await connection.reply(Reply(503, headers=((b"Retry-After", f"{after:.0f}".encode()),)))
 
     async def _cancel_when_left(
@@ -215,7 +215,7 @@
             ):
                 denied = "the budget for repeats is used up"
             if denied or choice is None:
-                self._log.note_retry_denied(context, denied or context.refusal, outcome)
+                self._log.record_retry_denied(context, denied or context.refusal, outcome)
                 return outcome
             context.tried.add(choice.record.registration.instance)
             earlier = outcome
@@ -266,7 +266,7 @@
             self._table.release(reserved, outcome.verdict is Verdict.ANSWERED)
             if outcome.detail == CANCELLED and trio.current_time() >= context.deadline:
                 self._note_timeout(context, record, upstream)
-            self._log.note_attempt(context, choice, outcome, started)
+            self._log.record_attempt(context, choice, outcome, started)
             if upstream is not None:
                 record.in_use.discard(upstream)
                 if whole:
@@ -413,7 +413,7 @@
         self, connection: CallerConnection, context: RequestContext, outcome: Outcome
     ) -> None:
         if outcome.answer is not None:
-            self._log.note_ended(context, outcome.answer.status, "answered")
+            self._log.record_ended(context, outcome.answer.status, "answered")
             await self._relay_answer(connection, outcome)
             return
         out_of_time = trio.current_time() >= context.deadline
@@ -422,7 +422,7 @@
             reply = _retry_later(503, context.available_in_s)
         else:
             reply = Reply(504 if out_of_time else 502)
-        self._log.note_ended(context, reply.status, outcome.detail)
+        self._log.record_ended(context, reply.status, outcome.detail)
         await connection.reply(reply)
 
     async def _relay_answer(self, connection: CallerConnection, outcome: Outcome) -> None:
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -33,7 +33,7 @@
         self._lag = lag
         self._started_at = trio.current_time()
 
-    def note_refused(
+    def record_refused(
         self, request: CallerRequest, request_id: str, status: int, reason: str
     ) -> None:
         """Log a request that was refused before a route was selected."""
@@ -53,7 +53,7 @@
             )
         )
 
-    def note_ended(self, context: RequestContext, status: int, reason: str) -> None:
+    def record_ended(self, context: RequestContext, status: int, reason: str) -> None:
         """Log and count the end of a request; the status is 0 if no answer was sent."""
         now = trio.current_time()
         request = context.request
@@ -79,7 +79,7 @@
             )
         )
 
-    def note_attempt(
+    def record_attempt(
         self, context: RequestContext, choice: Choice, outcome: Outcome, started: float
     ) -> None:
         """Log and count an attempt, with the reasons for its upstream."""
@@ -129,12 +129,12 @@
         if pushback.invalid_retry_after or pushback.invalid_limit is not None:
             self._metrics.count_asked(context.service, "unreadable")
 
-    def note_quarantined(self, context: RequestContext) -> None:
+    def record_quarantined(self, context: RequestContext) -> None:
         """Log and count a request that is refused because it is quarantined."""
         self._metrics.count_quarantined(context.service)
-        self.note_ended(context, 503, "quarantined: upstreams end under it")
+        self.record_ended(context, 503, "quarantined: upstreams end under it")
 
-    def note_crash(self, context: RequestContext, record: UpstreamRecord, crashes: int) -> None:
+    def record_crash(self, context: RequestContext, record: UpstreamRecord, crashes: int) -> None:
         """Log and count that an upstream has crashed while it handled a request."""
         request = context.request
         self._metrics.count_upstream_ended(context.service)
@@ -151,7 +151,7 @@
             )
         )
 
-    def note_unprobed(self, context: RequestContext, record: UpstreamRecord) -> None:
+    def record_unprobed(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Log that an upstream is not probed since the queue of probes is full."""
         self._decisions.write(
             BeliefChanged(
@@ -161,7 +161,7 @@
             )
         )
 
-    def note_retry_denied(self, context: RequestContext, reason: str, outcome: Outcome) -> None:
+    def record_retry_denied(self, context: RequestContext, reason: str, outcome: Outcome) -> None:
         """Log and count that a request is not retried."""
         self._metrics.count_denied(context.service, reason)
         self._decisions.write(
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -192,13 +192,13 @@
     def _note_unreachable(self, address: str) -> None:
         if address in self._reachable:
             self._reachable.discard(address)
-            self._log.note_lost(address)
+            self._log.record_lost(address)
 
     def _note_reachable(self, address: str) -> None:
         self._last_answer_at = trio.current_time()
         if address not in self._reachable:
             self._reachable.add(address)
-            self._log.note_regained(address)
+            self._log.record_regained(address)
 
     async def _request_feed(
         self, address: str, cursor: ReplicaCursor, timeout: float
@@ -222,7 +222,7 @@
             _LOG.debug("no feed from %s: %s", address, error)
             if request.demand:
                 self._demand_requested_at = float("-inf")
-            self._log.note_failed(address, request, sent_at)
+            self._log.record_failed(address, request, sent_at)
             return None
         if not isinstance(answer, Feed):
             return None
@@ -230,7 +230,7 @@
             # A first answer and its continuation are large and slow even on an idle link.
             now = trio.current_time()
             self._transits.note(now - sent_at - answer.held, now)
-        self._log.note_answer(address, request, sent_at, answer, POLL_TIMEOUT_S)
+        self._log.record_answer(address, request, sent_at, answer, POLL_TIMEOUT_S)
         return answer
 
     def _is_demand_due(self) -> bool:
@@ -246,7 +246,7 @@
             self._apply_limits(feed.limits.reports)
         before = self._view.steering.revision
         if self._view.merge(feed, trio.current_time(), sent_at):
-            self._log.note_applied(feed, before, self._view.steering.revision)
+            self._log.record_applied(feed, before, self._view.steering.revision)
             self._apply_suspects(feed.image.suspects)
 
     def _next_heartbeat(self) -> GatewayHeartbeat:
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -153,7 +153,7 @@
         try:
             self._probe_sender.send_nowait((context, record))
         except trio.WouldBlock:
-            self._log.note_unprobed(context, record)
+            self._log.record_unprobed(context, record)
 
     def note_answered(self, context: RequestContext) -> None:
         """Record that an upstream has run a request without a crash."""
@@ -238,7 +238,7 @@
         self._local_evidence[context.fingerprint] = _LocalEvidence(crashes, now)
         if len(self._local_evidence) > MAX_EVIDENCE:
             del self._local_evidence[next(iter(self._local_evidence))]
-        self._log.note_crash(context, record, evidence.crashes)
+        self._log.record_crash(context, record, evidence.crashes)
         self._report_crashes(context)
         if evidence.crashes >= QUARANTINE_THRESHOLD:
             self._cancel_quarantined({context.fingerprint})
