--- a/src/finchway/gateway/_connection.py
+++ b/src/finchway/gateway/_connection.py
@@ -253,7 +253,7 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise AttemptError(Failure.BROKEN, "closed without an answer")
         answer = Answer(event.status_code, bytes(event.reason), list(event.headers))
-        self._note_keep_alive(answer)
+        self._record_keep_alive(answer)
         self._on_head(answer)
         parts = []
         size = 0
@@ -267,7 +267,7 @@
         answer.body = b"".join(parts)
         return answer
 
-    def _note_keep_alive(self, answer: Answer) -> None:
+    def _record_keep_alive(self, answer: Answer) -> None:
         if (answer.header(b"connection") or "").lower() == "close":
             self._is_reusable = False
         for word in (answer.header(b"keep-alive") or "").split(","):
--- a/src/finchway/gateway/_estimates.py
+++ b/src/finchway/gateway/_estimates.py
@@ -47,17 +47,17 @@
         """Seconds after which an answer was most likely for a cold key."""
         return COLD_KEY_FACTOR * self._service_time
 
-    def note_answer(self, seconds: float, target_latency: float) -> None:
+    def record_answer(self, seconds: float, target_latency: float) -> None:
         """Update the estimates from a successful answer."""
         weight = (
             SERVICE_TIME_WEIGHT_UP if seconds > self._service_time else SERVICE_TIME_WEIGHT_DOWN
         )
         self._service_time += weight * (seconds - self._service_time)
-        self._note_late(seconds > target_latency)
+        self._record_late(seconds > target_latency)
 
-    def note_timeout(self) -> None:
+    def record_timeout(self) -> None:
         """Count an attempt that reached its deadline as late."""
-        self._note_late(True)
+        self._record_late(True)
 
-    def _note_late(self, is_late: bool) -> None:
+    def _record_late(self, is_late: bool) -> None:
         self._late_fraction += LATE_FRACTION_WEIGHT * (is_late - self._late_fraction)
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -265,7 +265,7 @@
         finally:
             self._table.release(reserved, outcome.verdict is Verdict.ANSWERED)
             if outcome.detail == CANCELLED and trio.current_time() >= context.deadline:
-                self._note_timeout(context, record, upstream)
+                self._record_timeout(context, record, upstream)
             self._log.record_attempt(context, choice, outcome, started)
             if upstream is not None:
                 record.in_use.discard(upstream)
@@ -283,21 +283,21 @@
             case Failure.UNWANTED:
                 return Outcome(Verdict.NOT_RUN, error.detail, record=record)
             case Failure.NOT_CONNECTED | Failure.REFUSED:
-                self._router.note_broken(record)
-                record.note_failure(now)
+                self._router.record_broken(record)
+                record.record_failure(now)
                 record.close_idle()
                 return Outcome(Verdict.NOT_RUN, error.detail, record=record)
             case Failure.SILENT:
-                self._router.note_broken(record)
+                self._router.record_broken(record)
                 record.back_off(now, SHED_BACKOFF_S)
                 record.close_idle()
             case Failure.BROKEN:
-                self._router.note_broken(record)
+                self._router.record_broken(record)
                 record.back_off(now, SHED_BACKOFF_S)
-                self._suspects.note_broken(context, record)
+                self._suspects.record_broken(context, record)
         return Outcome(Verdict.UNKNOWN, error.detail, record=record)
 
-    def _note_timeout(
+    def _record_timeout(
         self, context: RequestContext, record: UpstreamRecord, upstream: UpstreamConnection | None
     ) -> None:
         """Record an attempt that reached its deadline.
@@ -305,8 +305,8 @@
         A reused connection may be dead without a reset, and the other idle ones with it, so these
         are closed before further requests time out on them.
         """
-        record.note_timeout(trio.current_time())
-        self._router.note_timeout(context, record)
+        record.record_timeout(trio.current_time())
+        self._router.record_timeout(context, record)
         if upstream is not None and upstream.is_reused:
             record.close_idle()
 
@@ -320,7 +320,7 @@
     ) -> Answer:
         request = context.request
         headers = self._headers(context, record)
-        on_head = functools.partial(self._note_head, context, record, sent_at)
+        on_head = functools.partial(self._record_head, context, record, sent_at)
         if not request.is_streamed:
             await upstream.send(request.method, request.target, headers, request.body)
             return await upstream.receive(self._names.request_id, context.request_id, on_head)
@@ -331,7 +331,7 @@
         await upstream.send_end()
         return await upstream.receive(self._names.request_id, context.request_id, on_head)
 
-    def _note_head(
+    def _record_head(
         self, context: RequestContext, record: UpstreamRecord, sent_at: float, answer: Answer
     ) -> None:
         """Apply the pushback in the head of an answer."""
@@ -341,11 +341,11 @@
             answer.status, answer.headers, names.leaving, names.limit, WALL.now()
         )
         if is_own_answer(answer.status):
-            self._table.limits.note(record.registration.incarnation, pushback, sent_at, now)
+            self._table.limits.record(record.registration.incarnation, pushback, sent_at, now)
         if pushback is NO_PUSHBACK:
             return
         context.pushback = pushback
-        self._table.note_pushback(record, pushback, now)
+        self._table.record_pushback(record, pushback, now)
         self._log.count_pushback(context)
 
     def _headers(self, context: RequestContext, record: UpstreamRecord) -> Headers:
@@ -379,33 +379,33 @@
     ) -> Outcome:
         record = choice.record
         now = trio.current_time()
-        self._note_load(record, answer, now)
+        self._record_load(record, answer, now)
         refused = answer.status == 421 or answer.header(self._names.not_executed) is not None
         if not refused:
-            record.note_success()
-            self._router.note_answer(context, choice, answer.status, now - sent_at, now)
+            record.record_success()
+            self._router.record_answer(context, choice, answer.status, now - sent_at, now)
             if answer.status < 500:
                 # A 5xx does not show that the request ran: it may have timed out in a queue.
-                self._suspects.note_answered(context)
+                self._suspects.record_answered(context)
             return Outcome(Verdict.ANSWERED, "", answer, upstream, record)
         if answer.status == 421:
-            record.note_failure(now)
+            record.record_failure(now)
             record.close_idle()
         elif context.pushback.backoff_s > 0:
             # The upstream requested a backoff, so its free slots must not be used for the retry.
             record.back_off(now, SHED_BACKOFF_S)
-        elif self._router.note_refused(record, now):
+        elif self._router.record_refused(record, now):
             # The key is warm here, so the retry may go to the same upstream.
             context.tried.discard(record.registration.instance)
         else:
             record.back_off(now, SHED_BACKOFF_S)
         return Outcome(Verdict.NOT_RUN, f"refused with {answer.status}", record=record)
 
-    def _note_load(self, record: UpstreamRecord, answer: Answer, now: float) -> None:
+    def _record_load(self, record: UpstreamRecord, answer: Answer, now: float) -> None:
         parts = (answer.header(self._names.load) or "").split(",")
         counts = [read_count(part) for part in parts[:2]]
         if len(counts) == 2 and None not in counts:
-            record.note_load(*counts, now)
+            record.record_load(*counts, now)
 
     # Answers
 
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -50,11 +50,11 @@
         """The requests that this gateway may send to upstreams with a limit."""
         return self._rate_limiter
 
-    def on_lowered(self, note: Callable[[], None]) -> None:
+    def on_lowered(self, callback: Callable[[], None]) -> None:
         """Set the callback for answers that name a new or a lower limit."""
-        self._on_lowered = note
+        self._on_lowered = callback
 
-    def note(self, incarnation: str, pushback: Pushback, sent_at: float, now: float) -> None:
+    def record(self, incarnation: str, pushback: Pushback, sent_at: float, now: float) -> None:
         """Apply the limit in an answer to a request sent at `sent_at`, unless unreadable."""
         before = self._named.rate(incarnation)
         if pushback.invalid_limit is not None:
--- a/src/finchway/gateway/_poll.py
+++ b/src/finchway/gateway/_poll.py
@@ -43,15 +43,15 @@
         self.rest = False
         self.limits = LimitLogPosition()
 
-    def note(self, answer: Feed) -> None:
+    def record(self, answer: Feed) -> None:
         """Advance to an answer; a late one of the same incarnation never moves back."""
         if answer.life != self.incarnation:
             self.incarnation, self.order = answer.life, answer.order
         if answer.order >= self.order:
             self.order, self.rest = answer.order, answer.more
         if answer.limits is not None:
-            self._note_limits(answer.limits.position)
+            self._record_limits(answer.limits.position)
 
-    def _note_limits(self, known: LimitLogPosition) -> None:
+    def _record_limits(self, known: LimitLogPosition) -> None:
         if known.log_id != self.limits.log_id or known.order > self.limits.order:
             self.limits = known
--- a/src/finchway/gateway/_pushback.py
+++ b/src/finchway/gateway/_pushback.py
@@ -48,7 +48,7 @@
         """Return whether an incarnation has announced that it leaves."""
         return incarnation in self._leaving
 
-    def note(self, upstream: Registration, pushback: Pushback, now: float) -> bool:
+    def record(self, upstream: Registration, pushback: Pushback, now: float) -> bool:
         """Apply and log the pushback of an answer; return whether it newly announces leaving."""
         incarnation = upstream.incarnation
         if pushback.backoff_s > 0:
--- a/src/finchway/gateway/_record.py
+++ b/src/finchway/gateway/_record.py
@@ -69,7 +69,7 @@
         """Return the number of requests for warm keys in flight for longer than `seconds`."""
         return sum(now - since > seconds for since in self.warm_in_flight.values())
 
-    def note_warm_key(self, key: str, now: float) -> None:
+    def record_warm_key(self, key: str, now: float) -> None:
         """Record that the upstream has answered a request for a key."""
         self.warm_keys.pop(key, None)
         self.warm_keys[key] = now
@@ -84,7 +84,7 @@
             self.reported_load + self.in_flight - self.in_flight_at_report, float(self.in_flight)
         )
 
-    def note_load(self, running: int, waiting: int, now: float) -> None:
+    def record_load(self, running: int, waiting: int, now: float) -> None:
         """Apply the load report in an answer, which includes the answered request itself."""
         self.reported_load = float(max(running + waiting - 1, 0))
         self.in_flight_at_report = max(self.in_flight - 1, 0)
@@ -94,19 +94,19 @@
         """Send the upstream no requests for a time."""
         self.backoff_until = max(self.backoff_until, now + seconds)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Count a failure; consecutive failures double the backoff."""
         self.failures += 1
         self.back_off(now, min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self.failures - 1)))
 
-    def note_timeout(self, now: float) -> None:
+    def record_timeout(self, now: float) -> None:
         """Count a timeout; several consecutive ones count as a failure."""
         self.timeouts += 1
         if self.timeouts >= TIMEOUTS_PER_FAILURE:
             self.timeouts = 0
-            self.note_failure(now)
+            self.record_failure(now)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Reset failures, timeouts and backoff after an answer."""
         self.failures = 0
         self.timeouts = 0
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -80,7 +80,7 @@
         """Take one retry from this gateway's share of the budget; False if it is used up."""
         return self._retry_budget(service).spend(now, self._view.serving_count(now))
 
-    def note_answer(
+    def record_answer(
         self, context: RequestContext, choice: Choice, status: int, seconds: float, now: float
     ) -> None:
         """Update the service estimate and the upstream's record from an answered attempt.
@@ -92,11 +92,11 @@
         estimate = plan.estimate
         record = choice.record
         is_warm = record.is_warm(context.key, now)
-        record.note_warm_key(context.key, now)
+        record.record_warm_key(context.key, now)
         if status < 300:
-            estimate.note_answer(seconds, context.route.target_latency)
+            estimate.record_answer(seconds, context.route.target_latency)
             if is_warm and not record.outlier_state.is_suspect:
-                plan.note_warm_answer(choice.region, seconds)
+                plan.record_warm_answer(choice.region, seconds)
         if context.request.is_streamed:
             return
         is_slow = seconds > estimate.slow_after
@@ -105,7 +105,7 @@
         elif is_warm or not is_slow:
             record.outlier_state.record(is_slow)
 
-    def note_refused(self, record: UpstreamRecord, now: float) -> bool:
+    def record_refused(self, record: UpstreamRecord, now: float) -> bool:
         """Record a refusal; return whether the upstream refused although it had free slots.
 
         Such a refusal counts against the upstream and is no sign of load. Free slots are only
@@ -117,14 +117,14 @@
             record.outlier_state.record(True)
         return had_free_slot
 
-    def note_broken(self, record: UpstreamRecord) -> None:
+    def record_broken(self, record: UpstreamRecord) -> None:
         """Record an attempt that failed before a complete answer."""
         record.outlier_state.record(True)
 
-    def note_timeout(self, context: RequestContext, record: UpstreamRecord) -> None:
+    def record_timeout(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Record an attempt that reached its deadline."""
         record.outlier_state.record(True)
-        self._plan(context).estimate.note_timeout()
+        self._plan(context).estimate.record_timeout()
 
     def choose(self, context: RequestContext, now: float) -> Choice | None:
         """Return the upstream for an attempt, or None with the reason in `context.refusal`."""
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -85,7 +85,7 @@
         if context.has_key:
             self._key_map.record(context.key)
 
-    def note_warm_answer(self, region: str, seconds: float) -> None:
+    def record_warm_answer(self, region: str, seconds: float) -> None:
         """Record the time of an answer for a key that should be warm at the upstream."""
         was_cold = seconds > self._estimate.cold_key_after
         self._local_share_limit.record(region == self._home, was_cold)
@@ -132,7 +132,7 @@
         outliers = find_outliers(outcomes, self._outliers)
         for found in regions.values():
             for name in (outliers ^ self._outliers) & found.records.keys():
-                self._table.note_outlier(found.records[name], name in outliers)
+                self._table.record_outlier(found.records[name], name in outliers)
         self._outliers = outliers
         return outliers
 
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -134,7 +134,7 @@
                     with trio.move_on_after(POLL_TIMEOUT_S):
                         await poll.wait()
                     if not poll.succeeded:
-                        self._note_unreachable(address)
+                        self._record_unreachable(address)
                     await trio.sleep(POLL_PAUSE_S if poll.succeeded else RETRY_INTERVAL_S)
                 nursery.cancel_scope.cancel()
         finally:
@@ -150,8 +150,8 @@
         sent_at = trio.current_time()
         answer = await self._request_feed(address, cursor, LATE_ANSWER_TIMEOUT_S)
         if answer is not None:
-            self._note_reachable(address)
-            cursor.note(answer)
+            self._record_reachable(address)
+            cursor.record(answer)
             self._apply(answer, sent_at)
         poll.end(succeeded=answer is not None)
 
@@ -185,16 +185,16 @@
                 self._next_peer += 1
                 await trio.sleep(RETRY_INTERVAL_S)
                 continue
-            cursor.note(answer)
+            cursor.record(answer)
             self._apply(answer, sent_at)
             await trio.sleep(POLL_PAUSE_S)
 
-    def _note_unreachable(self, address: str) -> None:
+    def _record_unreachable(self, address: str) -> None:
         if address in self._reachable:
             self._reachable.discard(address)
             self._log.record_lost(address)
 
-    def _note_reachable(self, address: str) -> None:
+    def _record_reachable(self, address: str) -> None:
         self._last_answer_at = trio.current_time()
         if address not in self._reachable:
             self._reachable.add(address)
@@ -229,7 +229,7 @@
         if answer.life == request.life and not request.rest:
             # A first answer and its continuation are large and slow even on an idle link.
             now = trio.current_time()
-            self._transits.note(now - sent_at - answer.held, now)
+            self._transits.record(now - sent_at - answer.held, now)
         self._log.record_answer(address, request, sent_at, answer, POLL_TIMEOUT_S)
         return answer
 
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -89,7 +89,7 @@
         self._local_evidence: dict[str, _LocalEvidence] = {}
         self._in_progress: set[RequestContext] = set()
         self._unresolved: deque[_UnresolvedFailure] = deque(maxlen=MAX_UNRESOLVED)
-        table.on_replaced(self._note_replaced)
+        table.on_replaced(self._record_replaced)
         self._probe_sender, self._probe_receiver = trio.open_memory_channel[
             tuple[RequestContext, UpstreamRecord]
         ](MAX_QUEUED_PROBES)
@@ -145,7 +145,7 @@
             context.evidence.is_over = True
             self._report_crashes(context)
 
-    def note_broken(self, context: RequestContext, record: UpstreamRecord) -> None:
+    def record_broken(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Schedule a probe of an upstream whose connection failed during a request.
 
         If a new connection succeeds, the upstream has not crashed.
@@ -155,7 +155,7 @@
         except trio.WouldBlock:
             self._log.record_unprobed(context, record)
 
-    def note_answered(self, context: RequestContext) -> None:
+    def record_answered(self, context: RequestContext) -> None:
         """Record that an upstream has run a request without a crash."""
         context.evidence.is_answered = True
         if self._has_no_suspects():
@@ -189,13 +189,13 @@
         """
         now = trio.current_time()
         if self._table.was_replaced(record):
-            self._note_crash(context, record, now)
+            self._record_crash(context, record, now)
             return
         try:
             connection = await self._open_lasting_connection(record)
         except AttemptError as error:
             if error.failure is Failure.REFUSED:
-                self._note_crash(context, record, now)
+                self._record_crash(context, record, now)
             return
         if connection is None:
             return
@@ -218,16 +218,16 @@
             connection.close()
         return None
 
-    def _note_replaced(self, record: UpstreamRecord) -> None:
+    def _record_replaced(self, record: UpstreamRecord) -> None:
         """Resolve the failures of an incarnation as crashes, since a later one has started."""
         now = trio.current_time()
         found = [failure for failure in self._unresolved if failure.record is record]
         for failure in found:
             self._unresolved.remove(failure)
             if now - failure.at <= RESTART_WITHIN_S:
-                self._note_crash(failure.context, record, now)
+                self._record_crash(failure.context, record, now)
 
-    def _note_crash(self, context: RequestContext, record: UpstreamRecord, now: float) -> None:
+    def _record_crash(self, context: RequestContext, record: UpstreamRecord, now: float) -> None:
         evidence = context.evidence
         if evidence.is_answered:
             return
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -153,7 +153,7 @@
             self._names[registration.incarnation] = registration.instance
             record = self._record(registration, known.received_at)
             state = self._state(registration)
-            self._note_state(record, state, now - known.received_at)
+            self._record_state(record, state, now - known.received_at)
             if state == IN_USE:
                 by_service.setdefault(registration.service, []).append(record)
             else:
@@ -161,7 +161,7 @@
         for instance in [name for name in self._records if name not in seen]:
             forgotten = self._records.pop(instance)
             forgotten.close_idle()
-            self._note_state(forgotten, "forgotten", -0.001)
+            self._record_state(forgotten, "forgotten", -0.001)
         self._by_service = {
             service: self._by_region(records) for service, records in by_service.items()
         }
@@ -179,7 +179,7 @@
             region: RegionUpstreams(tuple(sorted(held)), held) for region, held in found.items()
         }
 
-    def note_outlier(self, record: UpstreamRecord, is_outlier: bool) -> None:
+    def record_outlier(self, record: UpstreamRecord, is_outlier: bool) -> None:
         """Log that an upstream has become an outlier, or is one no longer."""
         states = ("well", OUTLIER) if is_outlier else (OUTLIER, "well")
         self._decisions.write(
@@ -191,14 +191,14 @@
             )
         )
 
-    def note_pushback(self, record: UpstreamRecord, pushback: Pushback, now: float) -> None:
+    def record_pushback(self, record: UpstreamRecord, pushback: Pushback, now: float) -> None:
         """Apply the pushback of an answer."""
-        if self._pushback.note(record.registration, pushback, now):
+        if self._pushback.record(record.registration, pushback, now):
             self.refresh(now)
 
-    def on_replaced(self, note: Callable[[UpstreamRecord], None]) -> None:
+    def on_replaced(self, callback: Callable[[UpstreamRecord], None]) -> None:
         """Set the callback for incarnations that a later one has replaced."""
-        self._on_replaced = note
+        self._on_replaced = callback
 
     def was_replaced(self, record: UpstreamRecord) -> bool:
         """Return whether a later incarnation of the upstream has started."""
@@ -338,7 +338,7 @@
 
     def _end(self, record: UpstreamRecord) -> None:
         """Close all connections of an incarnation that a later one has replaced."""
-        self._note_state(record, REPLACED, -0.001)
+        self._record_state(record, REPLACED, -0.001)
         record.close_all()
         self._on_replaced(record)
 
@@ -358,7 +358,7 @@
             return SILENT
         return IN_USE
 
-    def _note_state(self, record: UpstreamRecord, state: str, age: float) -> None:
+    def _record_state(self, record: UpstreamRecord, state: str, age: float) -> None:
         if record.state == state:
             return
         self._decisions.write(
--- a/src/finchway/gateway/_transit.py
+++ b/src/finchway/gateway/_transit.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self._times: deque[tuple[float, float]] = deque()
 
-    def note(self, seconds: float, now: float) -> None:
+    def record(self, seconds: float, now: float) -> None:
         """Record the transit time of an answer."""
         self._times.append((now, seconds))
 
--- a/src/finchway/observe/_lag.py
+++ b/src/finchway/observe/_lag.py
@@ -27,7 +27,7 @@
         """The largest lateness of the last second, in seconds."""
         return max((late for _, late in self._late), default=0.0)
 
-    def note(self, now: float, late: float) -> None:
+    def record(self, now: float, late: float) -> None:
         """Take in how late a timer was."""
         self._late.append((now, late))
         while self._late[0][0] < now - REMEMBERED_S:
@@ -39,4 +39,4 @@
             due = trio.current_time() + LOOK_EVERY_S
             await trio.sleep_until(due)
             now = trio.current_time()
-            self.note(now, now - due)
+            self.record(now, now - due)
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -176,8 +176,8 @@
     async with gateway(first, second) as subject:
         seen = set()
         for number in range(20):
-            subject.table.get("i-1").note_success()
-            subject.table.get("i-2").note_success()
+            subject.table.get("i-1").record_success()
+            subject.table.get("i-2").record_success()
             ran = len(first.requests)
             caller = await subject.connect()
             status, _, _ = await caller.request(affinity_key=str(number).encode())
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -167,7 +167,7 @@
         subject.router.count_request(context, now)
         choice = subject.router.choose(context, now)
         name = choice.record.registration.instance
-        subject.router.note_answer(context, choice, 200, seconds.get(name, 0.1), now)
+        subject.router.record_answer(context, choice, 200, seconds.get(name, 0.1), now)
         chosen.append(name)
     return chosen
 
@@ -230,11 +230,11 @@
     subject.router.count_request(context, trio.current_time())
     home = subject.router.choose(context, trio.current_time()).record
     home.in_flight = 3
-    home.note_load(running=3, waiting=0, now=trio.current_time())
+    home.record_load(running=3, waiting=0, now=trio.current_time())
     assert subject.router.choose(subject.context("a"), trio.current_time()).record is home
     await trio.sleep(1.0)
     assert subject.router.choose(subject.context("a"), trio.current_time()).record is not home
-    home.note_load(running=5, waiting=0, now=trio.current_time())
+    home.record_load(running=5, waiting=0, now=trio.current_time())
     home.in_flight = 4
     assert subject.router.choose(subject.context("a"), trio.current_time()).record is not home
 
@@ -245,7 +245,7 @@
     first = subject.router.choose(subject.context("a"), trio.current_time())
     assert (first.reason, first.region, first.estimated_load) == (ChoiceReason.HOME, "north", 0.0)
     assert first.report_age == float("inf")
-    first.record.note_load(running=4, waiting=5, now=trio.current_time())
+    first.record.record_load(running=4, waiting=5, now=trio.current_time())
     await trio.sleep(0.1)
     second = subject.router.choose(subject.context("a"), trio.current_time())
     assert second.reason is ChoiceReason.RELIEF
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -220,8 +220,8 @@
 def test_loop_lag_reports_the_worst_stall_and_expires():
     lag = LoopLag()
     assert lag.worst_s == 0.0
-    lag.note(1.0, 0.7)
-    lag.note(1.5, 0.01)
+    lag.record(1.0, 0.7)
+    lag.record(1.5, 0.01)
     assert lag.worst_s == 0.7
-    lag.note(2.1, 0.02)
+    lag.record(2.1, 0.02)
     assert lag.worst_s == 0.02
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -144,7 +144,7 @@
         view.merge(feed, float(order))
         table.refresh(float(order))
         record = table.get("i")
-        record.note_warm_key("k", float(order))
+        record.record_warm_key("k", float(order))
         record.in_flight += 1
         records.append(record)
     first, second = records
