--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -126,7 +126,7 @@
             self._entry_server.begin_drain()
             await self._entry.drain_and_stop(self._settings.drain_limit_s, self._entry_server.stop)
         if self._gateway is not None:
-            await self._gateway.leave()
+            await self._gateway.drain_and_stop()
         if self._control is not None:
             target = self._control.runner.transfer()
             if target is not None:
--- a/src/finchway/gateway/_role.py
+++ b/src/finchway/gateway/_role.py
@@ -141,10 +141,10 @@
             await nursery.start(self._server.run)
             task_status.started()
 
-    async def leave(self) -> None:
+    async def drain_and_stop(self) -> None:
         """Withdraw, serve callers with cached directory answers, then drain requests in flight."""
         started = trio.current_time()
-        self._session.leave()
+        self._session.start_leaving()
         self._server.begin_drain()
         grace = self._bounds.grace
         serve_for = min(DIRECTORY_TTLS_SERVED * self._bounds.directory_ttl + 0.3, grace / 2)
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -99,7 +99,7 @@
                         nursery.start_soon(self._poll_replica, address)
                 await trio.sleep(RETRY_INTERVAL_S)
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Withdraw from the directory; open polls are renewed to report it."""
         self._leaving = True
         for poll in self._polls.values():
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -71,7 +71,7 @@
                 nursery.start_soon(session.run)
                 if leave_at is not None:
                     await trio.sleep(leave_at)
-                    session.leave()
+                    session.start_leaving()
         return [(at - started, address, poll) for at, address, poll in link.polls]
 
     return trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
