--- a/bench/feed.py
+++ b/bench/feed.py
@@ -13,18 +13,18 @@
 
 from finchway.control._feed import LONG_POLL_S
 from finchway.feed import (
+    ClusterView,
     Feed,
-    GatewayBeat,
+    GatewayHeartbeat,
     GatewayPeer,
     RegionDemand,
     ReplicaAddress,
     Roster,
     ServiceRate,
     Subscribe,
-    World,
 )
-from finchway.gateway._session import DEMAND_EVERY_S
-from finchway.pushback import LimitsKnown
+from finchway.gateway._session import DEMAND_INTERVAL_S
+from finchway.pushback import LimitLogPosition
 from finchway.state import SteeringImage
 
 GATEWAYS = (12, 100, 1_300)
@@ -32,7 +32,7 @@
 SERVICES = 3
 GATEWAYS_A_REGION = 60
 REPEATS = 50
-KNOWN = LimitsKnown("0123456789ab", 1_000)
+KNOWN = LimitLogPosition("0123456789ab", 1_000)
 
 
 def make_feed(gateways: int, news: bool) -> Feed:
@@ -68,7 +68,7 @@
 
 def make_question() -> Subscribe:
     """Return a gateway's question."""
-    beat = GatewayBeat(
+    heartbeat = GatewayHeartbeat(
         name="gateway-1",
         incarnation="0123456789ab",
         address="10.1.250.250:8548",
@@ -80,7 +80,7 @@
         rates=[ServiceRate(f"service-{n}", 12.34) for n in range(SERVICES)],
     )
     return Subscribe(
-        beat=beat, revision=1_000, life="0123456789ab", order=1_000, roster=1_000, limits=KNOWN
+        beat=heartbeat, revision=1_000, life="0123456789ab", order=1_000, roster=1_000, limits=KNOWN
     )
 
 
@@ -90,10 +90,10 @@
     for _ in range(REPEATS):
         data = msgspec.msgpack.encode(feed)
     encode = (time.perf_counter() - started) / REPEATS
-    world = World()
+    view = ClusterView()
     started = time.perf_counter()
     for number in range(REPEATS):
-        world.learn(msgspec.msgpack.decode(data, type=Feed), float(number))
+        view.merge(msgspec.msgpack.decode(data, type=Feed), float(number))
     return len(data), encode, (time.perf_counter() - started) / REPEATS
 
 
@@ -105,7 +105,7 @@
     for gateways in GATEWAYS:
         size, _, take_in = measure(make_feed(gateways, news=True))
         roster = len(msgspec.msgpack.encode(make_roster(gateways)))
-        with_demand = 1 / DEMAND_EVERY_S
+        with_demand = 1 / DEMAND_INTERVAL_S
         answers = REPLICAS / LONG_POLL_S
         plain = answers - with_demand
         rate = (size * with_demand + plain_bytes * plain + question * answers) / 1e3
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -20,7 +20,7 @@
 
 from bench.raw import answer, header_of, read_message
 from finchway.catalog import Backend, Item, ItemKind, Route, RouteType, ServiceSpec
-from finchway.feed import Feed, GatewayPeer, HeardUpstream, RegionDemand, Roster, World
+from finchway.feed import ClusterView, Feed, GatewayPeer, RegionDemand, Roster, UpstreamHeartbeat
 from finchway.gateway import (
     Bounds,
     Forwarder,
@@ -28,11 +28,11 @@
     HttpServer,
     RequestLog,
     Router,
-    SuspectDesk,
+    SuspectTracker,
     UpstreamTable,
 )
 from finchway.observe import DecisionLog, GatewayMetrics, LogWriter, LoopLag
-from finchway.pushback import LimitNews, LimitsKnown
+from finchway.pushback import LimitLog, LimitLogPosition
 from finchway.registry import Registration, UpstreamState
 from finchway.state import ChangeItems, Steering
 
@@ -132,16 +132,16 @@
         name = f"g-{zone}"
         self.zone = zone
         self.address = ""
-        self.world = World()
+        self.view = ClusterView()
         self.writer = LogWriter()
         decisions = DecisionLog(name, self.writer)
-        self.known = LimitsKnown()
-        self.table = table = UpstreamTable(name, lambda: REGIONS, self.world, Bounds(), decisions)
-        router = Router(zone, lambda: REGIONS, self.world, table, Bounds())
-        log = RequestLog(self.world, decisions, GatewayMetrics(name), LoopLag())
-        self._suspects = SuspectDesk(self.world, table, log, lambda report: None)
+        self.known = LimitLogPosition()
+        self.table = table = UpstreamTable(name, lambda: REGIONS, self.view, Bounds(), decisions)
+        router = Router(zone, lambda: REGIONS, self.view, table, Bounds())
+        log = RequestLog(self.view, decisions, GatewayMetrics(name), LoopLag())
+        self._suspects = SuspectTracker(self.view, table, log, lambda report: None)
         self._forwarder = Forwarder(
-            self.world, table, router, NAMES, log, self._suspects, Bounds().apply_within
+            self.view, table, router, NAMES, log, self._suspects, Bounds().apply_within
         )
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -149,7 +149,7 @@
         with trio.socket.socket() as probe:
             await probe.bind(("127.0.0.1", 0))
             self.address = f"127.0.0.1:{probe.getsockname()[1]}"
-        limits = self.world.steering.catalog
+        limits = self.view.steering.catalog
         server = HttpServer(self.address, self._forwarder.serve, lambda: limits.limits)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._suspects.run)
@@ -178,7 +178,7 @@
 
     def __init__(self, seed: int, rate: float, limit: float | None) -> None:
         self._limit = limit
-        self._news = LimitNews()
+        self._limit_log = LimitLog()
         self._rng = random.Random(seed)
         self._rate = rate
         self._steering = _steering()
@@ -230,12 +230,12 @@
                 while gateway.writer._take():
                     pass
                 now = trio.current_time()
-                gateway.world.learn(self._feed(version), now)
-                self._news.learn(gateway.table.limits.told(), now)
-                heard = self._news.since(gateway.known, now)
+                gateway.view.merge(self._feed(version), now)
+                self._limit_log.merge(gateway.table.limits.reports_to_send(), now)
+                heard = self._limit_log.since(gateway.known, now)
                 if heard is not None:
-                    gateway.known = heard.known
-                    gateway.table.limits.learn(heard.words)
+                    gateway.known = heard.position
+                    gateway.table.limits.merge(heard.reports)
             await trio.sleep(0.5)
 
     def _feed(self, version: int) -> Feed:
@@ -247,7 +247,7 @@
             roster=Roster(
                 version=version, serving=[GatewayPeer(f"g-{z}", "", r) for z, r in REGIONS.items()]
             ),
-            upstreams=[HeardUpstream(u.registration(), 0.0) for u in self._upstreams],
+            upstreams=[UpstreamHeartbeat(u.registration(), 0.0) for u in self._upstreams],
             demand=[RegionDemand(region, "s", self._rate) for region in REGIONS.values()],
         )
 
--- a/src/finchway/control/_feed.py
+++ b/src/finchway/control/_feed.py
@@ -11,13 +11,13 @@
 from finchway.feed import (
     Feed,
     GatewayTable,
-    HeardUpstream,
     ReplicaAddress,
     Roster,
-    ShareHeard,
+    ShareHeartbeats,
     Subscribe,
+    UpstreamHeartbeat,
 )
-from finchway.pushback import LimitNews
+from finchway.pushback import LimitLog
 from finchway.registry import AddressOwners, ReceivedHeartbeat, Registration, Registry
 from finchway.transport import Link
 
@@ -52,7 +52,7 @@
         self._incarnation = uuid.uuid4().hex[:12]
         self._registry = Registry(UPSTREAM_RETENTION_S, AddressOwners(self._silent_after))
         self._gateways = GatewayTable(GATEWAY_TIMEOUT_S)
-        self._limits = LimitNews()
+        self._limits = LimitLog()
         self._limits_changed = trio.Event()
         self._limits_notified_at = float("-inf")
         self._limits_pending = False
@@ -82,7 +82,7 @@
             self._unshared.append(registration.instance)
         return is_new
 
-    def record_shared_heartbeats(self, shared: ShareHeard) -> None:
+    def record_shared_heartbeats(self, shared: ShareHeartbeats) -> None:
         """Record heartbeats that a peer replica received."""
         now = trio.current_time()
         for received in shared.upstreams:
@@ -92,7 +92,7 @@
         """Answer a gateway, at once if the steering state is newer, else after a hold time."""
         arrived_at = trio.current_time()
         self._gateways.record(poll.beat, arrived_at)
-        self._limits_pending |= self._limits.learn(poll.beat.limits, arrived_at)
+        self._limits_pending |= self._limits.merge(poll.beat.limits, arrived_at)
         self._notify_limits(arrived_at)
         known = poll.life == self._incarnation
         steering = self._runner.machine.steering
@@ -106,7 +106,7 @@
         while True:
             await trio.sleep(SHARE_INTERVAL_S)
             now = trio.current_time()
-            self._registry.forget_silent(now)
+            self._registry.remove_silent(now)
             silent = self._registry.silent(now, self._silent_after)
             self._update_roster(silent, now)
             self._share_heartbeats(silent or [], now)
@@ -146,14 +146,14 @@
             order=page[-1].order if more else self._registry.order,
             image=steering.image(poll.revision if known else -1),
             upstreams=[
-                HeardUpstream(received.registration, round(now - received.heard_at, 3))
+                UpstreamHeartbeat(received.registration, round(now - received.received_at, 3))
                 for received in page
             ],
             more=more,
             roster=None if has_roster else self._roster,
             demand=self._gateways.demand(now) if poll.demand else None,
             held=round(now - arrived_at, 3),
-            age=round(now - runner.covered_at, 3),
+            age=round(now - runner.current_as_of, 3),
             limits=self._limits.since(poll.limits, now),
         )
 
@@ -167,7 +167,7 @@
             silent=(
                 current.silent
                 if silent is None
-                else sorted(received.registration.life for received in silent)
+                else sorted(received.registration.incarnation for received in silent)
             ),
             replicas=[
                 ReplicaAddress(member.name, member.address)
@@ -190,9 +190,11 @@
             heartbeats += silent
         if not heartbeats:
             return
-        shared = ShareHeard(
+        shared = ShareHeartbeats(
             upstreams=[
-                HeardUpstream(h.registration, round(now - h.heard_at, 3)) for h in heartbeats if h
+                UpstreamHeartbeat(h.registration, round(now - h.received_at, 3))
+                for h in heartbeats
+                if h
             ]
         )
         members = self._runner.core.members
--- a/src/finchway/control/_server.py
+++ b/src/finchway/control/_server.py
@@ -16,7 +16,7 @@
 from finchway.control._replica import ReplicaRunner
 from finchway.control._replica_set import ReplicaSetPlanner, with_expected, without_name
 from finchway.exceptions import ConflictError, FinchwayError, NotLeaderError, UnavailableError
-from finchway.feed import ReportedRequests, ShareHeard, Subscribe
+from finchway.feed import ReportedRequests, ShareHeartbeats, Subscribe
 from finchway.membership import (
     Coordinator,
     Heartbeat,
@@ -77,7 +77,7 @@
         lease: LeaseTiming,
         loans: LoanTiming,
         platform: PlatformSource | None,
-        open_to: int = 0,
+        auto_join_voters: int = 0,
         upstream_heartbeat: float = 1.5,
     ) -> None:
         self._runner = runner
@@ -87,9 +87,9 @@
         self._loans = loans
         self._platform = platform
         self._coordinator: Coordinator | None = None
-        self._open_to = open_to
+        self._auto_join_voters = auto_join_voters
         self._started_at = trio.current_time()
-        self._replicas = ReplicaSetPlanner(open_to)
+        self._replicas = ReplicaSetPlanner(auto_join_voters)
         self._feed = FeedServer(runner, link, upstream_heartbeat)
         self._seen_revision = -1
 
@@ -128,7 +128,7 @@
                 return None
             case Subscribe():
                 return await self._feed.answer(body)
-            case ShareHeard():
+            case ShareHeartbeats():
                 self._feed.record_shared_heartbeats(body)
                 return None
             case ReportedRequests(reports=reports):
@@ -180,7 +180,7 @@
         confirmed = await self.at_leader(Confirm(within=within))
         with trio.move_on_after(FORWARD_TIMEOUT_S):
             await self._runner.wait_applied(confirmed.index)
-            self._runner.note_covered(requested_at - confirmed.age)
+            self._runner.advance_current_as_of(requested_at - confirmed.age)
             return self._runner.machine.revision
         raise UnavailableError("this replica is too far behind")
 
@@ -217,7 +217,7 @@
 
     def _on_heartbeat(self, heartbeat: Heartbeat, with_changes: bool = True) -> HeartbeatReply:
         coordinator = self._confirmed_coordinator()
-        return coordinator.answer(heartbeat, trio.current_time(), with_changes)
+        return coordinator.handle_heartbeat(heartbeat, trio.current_time(), with_changes)
 
     def _confirmed_coordinator(self) -> Coordinator:
         """Return the coordinator; raises unless a quorum has confirmed this leader recently."""
@@ -234,7 +234,10 @@
         A smaller set tolerates fewer failures than the deployment was planned for.
         """
         age = trio.current_time() - self._started_at
-        if age < FORMATION_TIMEOUT_S and len(self._runner.core.members.voters) < self._open_to:
+        if (
+            age < FORMATION_TIMEOUT_S
+            and len(self._runner.core.members.voters) < self._auto_join_voters
+        ):
             raise UnavailableError("the replica set is still forming")
 
     def _record_join(self, join: Join) -> None:
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -91,7 +91,7 @@
         await self._control.confirm()
         return self._control.runner.machine.steering.catalog.standing()
 
-    async def hear(self, registration: Registration) -> None:
+    async def record_heartbeat(self, registration: Registration) -> None:
         """Record an upstream's heartbeat; a draining state is committed before it returns.
 
         Raises `ResourceError` for an invalid heartbeat.
@@ -159,7 +159,7 @@
         if findings:
             raise ResourceError(findings, "heartbeat")
 
-    def note_refused(self, call: str, error: FinchwayError) -> None:
+    def record_refused(self, call: str, error: FinchwayError) -> None:
         """Count an invalid call; log it at a limited rate."""
         self._metrics.count_refused(call)
         now = trio.current_time()
@@ -175,7 +175,7 @@
     def _log_late_heartbeat(self, registration: Registration) -> None:
         self._decisions.write(
             BeliefChanged(
-                subject=f"upstream/{registration.life}",
+                subject=f"upstream/{registration.incarnation}",
                 now=f"heartbeat {registration.sequence} came late and is passed over",
                 source=f"{registration.service} {registration.address}",
             )
@@ -208,8 +208,8 @@
         return self._metrics.render(
             ReplicaState(
                 is_leader=runner.is_leader,
-                covered_age_s=round(now - runner.covered_at, 3),
-                hears_leader=runner.core.heard_leader_within(LEADER_TIMEOUT_S),
+                covered_age_s=round(now - runner.current_as_of, 3),
+                hears_leader=runner.core.had_leader_contact_within(LEADER_TIMEOUT_S),
                 voters=len(runner.core.members.voters),
                 applied=runner.applied,
                 revision=runner.machine.steering.revision,
@@ -218,7 +218,7 @@
                 gateways=len(feed.gateways.live(now)),
                 log_lines_dropped=self._decisions.writer.dropped,
                 suspects=len(runner.machine.steering.suspects),
-                suspects_dropped=runner.machine.steering.suspects.dropped,
+                suspects_dropped=runner.machine.steering.suspects.evicted,
             )
         )
 
--- a/src/finchway/control/_steering_api.py
+++ b/src/finchway/control/_steering_api.py
@@ -100,7 +100,7 @@
         try:
             return await self._change(method, parts, body)
         except InputError as error:
-            self._service.note_refused(parts[0] if parts else "", error)
+            self._service.record_refused(parts[0] if parts else "", error)
             raise
 
     async def _change(self, method: str, parts: list[str], body: bytes) -> Any:
@@ -116,7 +116,7 @@
                 named = (
                     document | {"instance": instance} if isinstance(document, dict) else document
                 )
-                await self._service.hear(_convert(named, Registration, "body"))
+                await self._service.record_heartbeat(_convert(named, Registration, "body"))
                 return {"instance": instance}
             case "POST", ["suspects", request, "release"]:
                 await self._service.release(request)
@@ -144,7 +144,7 @@
                     upstream.registration.zone,
                     upstream.registration.slots,
                     _state(upstream.registration, steering),
-                    round(now - upstream.heard_at, 3),
+                    round(now - upstream.received_at, 3),
                 )
                 for upstream in control.feed.registry.all()
             ],
@@ -196,8 +196,8 @@
 
 def _suspect_row(suspect: Suspect) -> SuspectRow:
     seconds = max(0.0, round(suspect.until_ms / 1000 - WALL.now(), 1))
-    ended = list(suspect.ended)
-    return SuspectRow(suspect.request, suspect.state.value, suspect.ends, ended, seconds)
+    ended = list(suspect.crashed_upstreams)
+    return SuspectRow(suspect.request, suspect.state.value, suspect.crashes, ended, seconds)
 
 
 def _state(registration: Registration, steering: Steering) -> str:
--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -46,8 +46,8 @@
     Timing,
     create_identity,
     load_identity,
-    quarantine,
     require_identity,
+    set_aside_damaged_folder,
 )
 from finchway.surface import Surface
 from finchway.transport import (
@@ -123,10 +123,10 @@
     async def _leave(self) -> None:
         self._timeline.record(EventKind.STOPPING, self._settings.instance)
         if self._entry is not None:
-            self._entry_server.leave()
-            await self._entry.leave(self._settings.drain_limit_s, self._entry_server.stop)
+            self._entry_server.begin_drain()
+            await self._entry.drain_and_stop(self._settings.drain_limit_s, self._entry_server.stop)
         if self._gateway is not None:
-            await self._gateway.leave()
+            await self._gateway.drain_and_stop()
         if self._control is not None:
             target = self._control.runner.transfer()
             if target is not None:
@@ -187,7 +187,7 @@
         await nursery.start(self._api_server.run)
 
     async def _open_replica(self) -> ReplicaRunner:
-        """Open the data folder; without sound data the replica joins the others under a new life.
+        """Open the data folder; without sound data the replica joins as a new incarnation.
 
         Raises `NotBootstrappedError` if the folder is empty and no other replica is set.
         """
@@ -201,7 +201,7 @@
         except StorageDamagedError as error:
             if not others:
                 raise
-            aside = quarantine(folder)
+            aside = set_aside_damaged_folder(folder)
             _LOG.error("%s; it is kept as %s, and this replica joins anew", error, aside)
         founders = dict(settings.founders)
         if settings.founding and settings.instance in founders:
--- a/src/finchway/entry/_call.py
+++ b/src/finchway/entry/_call.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from finchway.policy import Outcome, Refusal
-from finchway.pushback import ASKED_NOTHING, Asked
+from finchway.pushback import NO_PUSHBACK, Pushback
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -56,13 +56,13 @@
     region: str = ""
 
 
-class Facts(Struct, frozen=True):
+class ResponseMetadata(Struct, frozen=True):
     """What a response's headers report about the upstream, and what they request of the sender."""
 
     incarnation: str = ""
     load: float | None = None
     not_run: bool = False
-    asked: Asked = ASKED_NOTHING
+    pushback: Pushback = NO_PUSHBACK
 
 
 class CallError(Exception):
--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -19,12 +19,12 @@
     Body,
     Call,
     CallError,
-    Facts,
     Headers,
+    ResponseMetadata,
     UpstreamError,
     refused,
 )
-from finchway.entry._claims import MAX_STORED_BYTES, ClaimDesk
+from finchway.entry._claims import MAX_STORED_BYTES, ClaimClient
 from finchway.entry._view import EntryView
 from finchway.observe import EventKind, Metrics, Timeline
 from finchway.policy import (
@@ -40,7 +40,7 @@
     may_retry,
     retry_after,
 )
-from finchway.pushback import Asked, is_own_answer
+from finchway.pushback import Pushback, is_own_answer
 from finchway.resources import Service
 
 MAX_BUFFERED_BYTES = 65_536
@@ -76,7 +76,7 @@
         self,
         view: EntryView,
         client,
-        claims: ClaimDesk,
+        claims: ClaimClient,
         timeline: Timeline,
         metrics: Metrics,
         may_serve: Callable[[], bool],
@@ -105,7 +105,7 @@
 
     def process_queue(self, service: str | None = None) -> None:
         """Grant free slots to queued requests and refuse those that cannot meet their deadline."""
-        for ticket, decision in self._view.gate.pump(trio.current_time(), service):
+        for ticket, decision in self._view.gate.process_queues(trio.current_time(), service):
             self._deliver(ticket, decision)
 
     async def serve(self, call: Call, body: Body, respond) -> None:
@@ -225,7 +225,7 @@
     def _retry_delay_s(self, call: Call, regions: tuple[str, ...]) -> float:
         """Return the seconds after which a caller should retry a request that did not run."""
         now = trio.current_time()
-        available_in = self._view.gate.back_in(call.service, regions, now, frozenset())
+        available_in = self._view.gate.available_in_s(call.service, regions, now, frozenset())
         return max(4 * self._view.gate.mean_hold_s(call.service), available_in)
 
     async def _admit(self, call: Call, regions: tuple[str, ...], excluded: frozenset[str]) -> Grant:
@@ -233,7 +233,7 @@
         ticket = Ticket(
             next(self._ticket_numbers), call.rank, call.deadline, now, regions, excluded
         )
-        decision, evicted = self._view.gate.offer(call.service, ticket, now)
+        decision, evicted = self._view.gate.request_slot(call.service, ticket, now)
         for other, refusal in evicted:
             self._deliver(other, refusal)
         if decision is None:
@@ -310,10 +310,10 @@
             grant.address, call.method, call.target, headers, content, may_send
         )
         async with opened as reply:
-            self._record_metadata(call.service, grant.address, reply.facts)
+            self._record_metadata(call.service, grant.address, reply.metadata)
             if is_own_answer(reply.status):
-                self._record_limit(call.service, grant.address, reply.facts.asked, sent_at)
-            if reply.facts.not_run:
+                self._record_limit(call.service, grant.address, reply.metadata.pushback, sent_at)
+            if reply.metadata.not_run:
                 self._view.directory.record_refusal(grant.address, trio.current_time())
                 raise UpstreamError(
                     Outcome.NOT_RUN,
@@ -341,13 +341,13 @@
         """Check again for a backoff or rate limit once a new connection is established."""
         directory = self._view.directory
         address, now = slot.grant.address, trio.current_time()
-        if directory.rest_left(address, now) > 0:
+        if directory.backoff_left_s(address, now) > 0:
             return False
         if slot.grant.is_counted:
             return True
-        if not directory.may_take(address, now):
+        if not directory.is_below_limit(address, now):
             return False
-        is_counted = directory.take(address, now)
+        is_counted = directory.take_token(address, now)
         slot.grant = msgspec.structs.replace(slot.grant, is_counted=is_counted)
         return True
 
@@ -364,32 +364,34 @@
             headers.append((b"transfer-encoding", b"chunked"))
         return headers
 
-    def _record_metadata(self, service: str, address: str, metadata: Facts) -> None:
+    def _record_metadata(self, service: str, address: str, metadata: ResponseMetadata) -> None:
         now = trio.current_time()
         directory = self._view.directory
         directory.record_incarnation(address, metadata.incarnation, now)
         if metadata.load is not None:
             directory.record_report(address, LoadReport(metadata.load, now))
-        if metadata.asked.leaving and directory.mark_leaving(address):
+        if metadata.pushback.leaving and directory.mark_leaving(address):
             self._timeline.record(EventKind.UPSTREAM_LEAVING, address, "said by its answer")
             self._metrics.count_asked(service, "leaving")
-        if metadata.asked.rest_s > 0:
-            directory.ask_rest(address, metadata.asked.rest_s, now)
-            detail = f"asks for {metadata.asked.rest_s:g} s of rest"
+        if metadata.pushback.backoff_s > 0:
+            directory.record_backoff(address, metadata.pushback.backoff_s, now)
+            detail = f"asks for {metadata.pushback.backoff_s:g} s of rest"
             self._timeline.record(EventKind.UPSTREAM_RESTING, address, detail)
             self._metrics.count_asked(service, "rest")
-        if metadata.asked.unread or metadata.asked.unread_limit is not None:
+        if metadata.pushback.invalid_retry_after or metadata.pushback.invalid_limit is not None:
             self._metrics.count_asked(service, "unreadable")
 
-    def _record_limit(self, service: str, address: str, asked: Asked, sent_at: float) -> None:
+    def _record_limit(self, service: str, address: str, pushback: Pushback, sent_at: float) -> None:
         """Record the rate limit that a response states; an unreadable one is ignored."""
-        if asked.limit is not None:
+        if pushback.limit is not None:
             self._metrics.count_asked(service, "limit")
-        elif asked.unread_limit is not None:
+        elif pushback.invalid_limit is not None:
             return
         now = trio.current_time()
-        if self._view.directory.record_limit(address, asked.limit, sent_at, now):
-            limit = "no limit any more" if asked.limit is None else f"{asked.limit:g} a second"
+        if self._view.directory.record_limit(address, pushback.limit, sent_at, now):
+            limit = (
+                "no limit any more" if pushback.limit is None else f"{pushback.limit:g} a second"
+            )
             self._timeline.record(EventKind.UPSTREAM_LIMITED, address, f"names {limit}")
 
     def _record_success(self, address: str) -> None:
--- a/src/finchway/entry/_session.py
+++ b/src/finchway/entry/_session.py
@@ -21,7 +21,7 @@
 from finchway.exceptions import FinchwayError, NotLeaderError
 from finchway.membership import Heartbeat, HeartbeatReply, LeaseTiming, RateReport, full_state
 from finchway.observe import EventKind, Timeline
-from finchway.pushback import LimitsKnown
+from finchway.pushback import LimitLogPosition
 from finchway.resources import Change
 from finchway.state import AnyCommand, AnyResult
 from finchway.transport import AnyBody, Changes, FetchChanges, HeartbeatBatch, Link, Submit
@@ -83,7 +83,7 @@
         self._batcher = HeartbeatBatcher(identity.instance, self._send_to_control)
         self._sequence = 0
         self._loans_applied = 0
-        self._limits_known = LimitsKnown()
+        self._limits_known = LimitLogPosition()
         self._lease_until = float("-inf")
         self._last_contact_at = float("-inf")
         self._last_direct_reply_at = float("-inf")
@@ -104,7 +104,7 @@
         return trio.current_time() < self._lease_until
 
     @property
-    def is_in_touch(self) -> bool:
+    def is_leader_reachable(self) -> bool:
         """Whether the leader responded recently, so that changes and limits still arrive."""
         return trio.current_time() - self._last_reply_at < REPLY_FRESH_S
 
@@ -133,12 +133,12 @@
     async def _send_heartbeats(self) -> None:
         while True:
             started = trio.current_time()
-            await self.beat()
+            await self.send_heartbeat()
             self._record_lease_change()
             left = self._timing.interval - (trio.current_time() - started)
             await trio.sleep(max(0.01, left))
 
-    async def beat(self, stopped: bool = False) -> bool:
+    async def send_heartbeat(self, stopped: bool = False) -> bool:
         """Send one heartbeat and apply the reply; return False if there was none."""
         heartbeat = self._heartbeat(stopped)
         sent_at = trio.current_time()
@@ -205,7 +205,7 @@
             loads=view.loads(now),
             marks=view.leaving_marks(),
             rates=[RateReport(o, s, rate) for o, s, rate in view.active_rates(now)],
-            limits=view.directory.limits.told(now),
+            limits=view.directory.limits.reports_to_send(now),
             limits_known=self._limits_known,
         )
 
@@ -299,8 +299,8 @@
         else:
             self._apply_changes(reply.changes)
         if reply.limits is not None:
-            self._view.directory.learn_limits(reply.limits.words, self._last_contact_at)
-            self._limits_known = reply.limits.known
+            self._view.directory.merge_limits(reply.limits.reports, self._last_contact_at)
+            self._limits_known = reply.limits.position
         if self._view.revision < reply.revision:
             return
         self._lease_until = max(self._lease_until, sent_at + reply.lease_s)
--- a/src/finchway/entry/_view.py
+++ b/src/finchway/entry/_view.py
@@ -66,7 +66,7 @@
         self._holder = holder or Holder(instance)
         self._directory = directory or Directory(rng)
         self._gate = Gate(self._holder, self._directory)
-        self._directory.divide_limits(self._limit_part)
+        self._directory.set_limit_division(self._limit_part)
         self._organisations: dict[str, str] = {}
         self._capacities: dict[tuple[str, str], Capacity] = {}
         self._active_moves: set[tuple[str, str]] = set()
@@ -243,7 +243,8 @@
         report_times = [state.report.at for state in states if state is not None and state.report]
         age = f"{now - max(report_times):.3f} s ago" if report_times else "never"
         return (
-            f"{health.streak} failures in a row at {health.failed} of {len(addresses)} upstreams, "
+            f"{health.consecutive_failures} failures in a row "
+            f"at {health.failed} of {len(addresses)} upstreams, "
             f"last heard {age}, revision {self.revision}"
         )
 
--- a/src/finchway/feed/_messages.py
+++ b/src/finchway/feed/_messages.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from finchway.pushback import LimitsHeard, LimitsKnown, NamedLimit
+from finchway.pushback import LimitLogEntries, LimitLogPosition, LimitReport
 from finchway.registry import Registration
 from finchway.state import RequestReport, SteeringImage
 
@@ -16,7 +16,7 @@
     rate: float
 
 
-class GatewayBeat(Struct, frozen=True, kw_only=True):
+class GatewayHeartbeat(Struct, frozen=True, kw_only=True):
     """A gateway's heartbeat.
 
     `address` is for callers and `peer` for finchway's processes. `leaving` excludes it from the
@@ -37,7 +37,7 @@
     sequence: int = 0
     rates: list[ServiceRate] = []
     pressed: bool = False
-    limits: list[NamedLimit] = []
+    limits: list[LimitReport] = []
 
 
 class RegionDemand(Struct, frozen=True, array_like=True):
@@ -48,7 +48,7 @@
     rate: float
 
 
-class HeardUpstream(Struct, frozen=True, array_like=True):
+class UpstreamHeartbeat(Struct, frozen=True, array_like=True):
     """An upstream's newest heartbeat and its age."""
 
     registration: Registration
@@ -92,14 +92,14 @@
     of upstreams' limits are known.
     """
 
-    beat: GatewayBeat
+    beat: GatewayHeartbeat
     revision: int
     life: str = ""
     order: int = 0
     roster: int = 0
     demand: bool = True
     rest: bool = False
-    limits: LimitsKnown = LimitsKnown()
+    limits: LimitLogPosition = LimitLogPosition()
 
 
 class Feed(Struct, frozen=True, kw_only=True, tag=True):
@@ -117,11 +117,11 @@
     image: SteeringImage
     age: float
     held: float = 0.0
-    upstreams: list[HeardUpstream] = []
+    upstreams: list[UpstreamHeartbeat] = []
     more: bool = False
     roster: Roster | None = None
     demand: list[RegionDemand] | None = None
-    limits: LimitsHeard | None = None
+    limits: LimitLogEntries | None = None
 
 
 class ReportedRequests(Struct, frozen=True, kw_only=True, tag=True):
@@ -130,7 +130,7 @@
     reports: list[RequestReport]
 
 
-class ShareHeard(Struct, frozen=True, kw_only=True, tag=True):
+class ShareHeartbeats(Struct, frozen=True, kw_only=True, tag="ShareHeard"):
     """Upstreams' heartbeats that a replica passes on to its peers."""
 
-    upstreams: list[HeardUpstream]
+    upstreams: list[UpstreamHeartbeat]
--- a/src/finchway/gateway/_http.py
+++ b/src/finchway/gateway/_http.py
@@ -44,7 +44,7 @@
 
 
 class CallerRequest(Struct):
-    """A caller's request; if `more` is set, `body` has only the first part of a long body.
+    """A caller's request; if `is_streamed` is set, `body` has only the first part of a long body.
 
     `caller` is the remote address without the port.
     """
@@ -55,7 +55,7 @@
     headers: Headers
     body: bytes
     arrived_at: float
-    more: bool = False
+    is_streamed: bool = False
     caller: str = ""
 
     @property
@@ -178,7 +178,7 @@
                 await self.reply(Reply(413), close=True)
                 return None
             if size > BUFFERED_BODY_BYTES:
-                request.more = True
+                request.is_streamed = True
                 break
         request.body = b"".join(parts)
         return request
@@ -361,7 +361,7 @@
         scope = self._connections[connection] = trio.CancelScope()
         self._nursery.start_soon(self._handle, connection, scope)
 
-    def leave(self) -> None:
+    def begin_drain(self) -> None:
         """Close each connection after its next answer; new ones are still accepted."""
         self._leaving = True
         for connection in self._connections:
@@ -372,7 +372,7 @@
 
         Connections in the kernel's accept queue are still served, since they may hold requests.
         """
-        self.leave()
+        self.begin_drain()
         await self._listener.stop()
         while self._connections:
             self._close_idle(trio.current_time())
--- a/src/finchway/gateway/_poll.py
+++ b/src/finchway/gateway/_poll.py
@@ -5,7 +5,7 @@
 import trio
 
 from finchway.feed import Feed
-from finchway.pushback import LimitsKnown
+from finchway.pushback import LimitLogPosition
 
 
 class Poll:
@@ -30,27 +30,28 @@
 class ReplicaCursor:
     """The state that has been received from the replica at an address.
 
-    `life` is its incarnation, `order` the position up to which its upstreams have been received;
-    `rest` is set if its last answer was incomplete. `limits` is the position of its limits.
+    `incarnation` is the replica's, `order` the position up to which its upstreams have been
+    received; `rest` is set if its last answer was incomplete. `limits` is the position of its
+    limits.
     """
 
-    __slots__ = ("life", "limits", "order", "rest")
+    __slots__ = ("incarnation", "limits", "order", "rest")
 
     def __init__(self) -> None:
-        self.life = ""
+        self.incarnation = ""
         self.order = 0
         self.rest = False
-        self.limits = LimitsKnown()
+        self.limits = LimitLogPosition()
 
-    def note(self, answer: Feed) -> None:
+    def record(self, answer: Feed) -> None:
         """Advance to an answer; a late one of the same incarnation never moves back."""
-        if answer.life != self.life:
-            self.life, self.order = answer.life, answer.order
+        if answer.life != self.incarnation:
+            self.incarnation, self.order = answer.life, answer.order
         if answer.order >= self.order:
             self.order, self.rest = answer.order, answer.more
         if answer.limits is not None:
-            self._note_limits(answer.limits.known)
+            self._record_limits(answer.limits.position)
 
-    def _note_limits(self, known: LimitsKnown) -> None:
-        if known.book != self.limits.book or known.order > self.limits.order:
+    def _record_limits(self, known: LimitLogPosition) -> None:
+        if known.log_id != self.limits.log_id or known.order > self.limits.order:
             self.limits = known
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -4,25 +4,25 @@
 
 from collections.abc import Callable
 
-from finchway.feed import World
+from finchway.feed import ClusterView
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._estimates import ServiceEstimate
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import Task
+from finchway.gateway._task import RequestContext
 from finchway.observe import PlanChanged, RegionShare
 from finchway.policy import (
-    KeepLimit,
+    GrowthDetector,
     KeyMap,
+    LocalFractionLimit,
     RateMeter,
     RegionLoad,
-    Settled,
     Spread,
     UpstreamOrders,
     assume_even_demand,
-    find_poor,
+    find_outliers,
+    fraction_of_traffic,
     plan_spread,
     rank,
-    share_of_flow,
 )
 
 # Fraction of a region's slots that a plan fills; the rest absorbs uneven arrivals.
@@ -45,21 +45,21 @@
         target_latency: float,
         home: str,
         zones: Callable[[], dict[str, str]],
-        world: World,
+        view: ClusterView,
         table: UpstreamTable,
         bounds: Bounds,
     ) -> None:
         self._service = service
         self._home = home
         self._zones = zones
-        self._world = world
+        self._view = view
         self._table = table
         self._estimate = ServiceEstimate(target_latency)
         self._meter = RateMeter()
         speed = SHIFT_RATE_FACTOR * bounds.shift_per_window / bounds.shift_window
         self._spread = Spread(home, speed)
-        self._settled = Settled(DEMAND_STABLE_S)
-        self._local_share_limit = KeepLimit()
+        self._growth = GrowthDetector(DEMAND_STABLE_S)
+        self._local_share_limit = LocalFractionLimit()
         self._max_local_share = 1.0
         self._key_map = KeyMap(home)
         self._orders = UpstreamOrders()
@@ -79,37 +79,39 @@
         """The share of requests that the home region handles itself at the moment."""
         return self._spread.parts.get(self._home, 0.0)
 
-    def count(self, task: Task) -> None:
+    def count(self, context: RequestContext) -> None:
         """Count a caller's request and its key."""
         self._meter.add()
-        if task.has_key:
-            self._key_map.note(task.key)
+        if context.has_key:
+            self._key_map.record(context.key)
 
-    def note_warm_answer(self, region: str, seconds: float) -> None:
+    def record_warm_answer(self, region: str, seconds: float) -> None:
         """Record the time of an answer for a key that should be warm at the upstream."""
         was_cold = seconds > self._estimate.cold_key_after
-        self._local_share_limit.note(region == self._home, was_cold)
+        self._local_share_limit.record(region == self._home, was_cold)
 
     def rate(self, now: float) -> float:
         """Return the rate of callers' requests at this gateway, in requests per second."""
         return self._meter.rate(now)
 
-    def regions_for(self, task: Task, usable: list[str], now: float) -> list[str]:
+    def regions_for(self, context: RequestContext, usable: list[str], now: float) -> list[str]:
         """Return the usable regions in order: the planned one, the home region, the others."""
         self._update_spread(now)
         if len(usable) == 1:
             return usable
-        if task.has_key:
-            first = self._key_map.region_of(task.key)
+        if context.has_key:
+            first = self._key_map.region_of(context.key)
         else:
-            first = self._key_map.region_in_turn()
-        others = rank(task.key, [name for name in usable if name not in (first, self._home)])
+            first = self._key_map.next_region()
+        others = rank(context.key, [name for name in usable if name not in (first, self._home)])
         return [name for name in dict.fromkeys((first, self._home, *others)) if name in usable]
 
-    def upstreams_for(self, task: Task, region: str, names: tuple[str, ...]) -> list[str]:
+    def upstreams_for(
+        self, context: RequestContext, region: str, names: tuple[str, ...]
+    ) -> list[str]:
         """Return a region's upstreams in order of preference, with the key's home first."""
-        order = self._orders.order(task.key, names)
-        home = self._key_map.home_of(task.key, region)
+        order = self._orders.order(context.key, names)
+        home = self._key_map.balanced_upstream(context.key, region)
         if home is None or home == order[0] or home not in names:
             return order
         return [home, *(name for name in order if name != home)]
@@ -122,15 +124,15 @@
         regions = self._table.regions(self._service, now)
         for found in regions.values():
             for record in found.records.values():
-                record.outlier_state.note_overdue(record.overdue(now, self._estimate.slow_after))
-        standings = {
+                record.outlier_state.set_overdue(record.overdue(now, self._estimate.slow_after))
+        outcomes = {
             region: {name: record.outlier_state for name, record in found.records.items()}
             for region, found in regions.items()
         }
-        outliers = find_poor(standings, self._outliers)
+        outliers = find_outliers(outcomes, self._outliers)
         for found in regions.values():
             for name in (outliers ^ self._outliers) & found.records.keys():
-                self._table.note_outlier(found.records[name], name in outliers)
+                self._table.record_outlier(found.records[name], name in outliers)
         self._outliers = outliers
         return outliers
 
@@ -141,12 +143,12 @@
             self._shares_at = now
         share = self._shares.get(region)
         if share is None:
-            share = self._shares[region] = share_of_flow(
+            share = self._shares[region] = fraction_of_traffic(
                 self._home,
                 self._meter.rate(now),
                 region,
                 self._loads(now),
-                self._world.serving_count(now),
+                self._view.serving_count(now),
             )
         return share
 
@@ -155,15 +157,15 @@
         regions = self._table.regions(self._service, now)
         if now - self._spread.followed_at >= PLAN_INTERVAL_S:
             capacity = {name: float(found.slots) for name, found in regions.items()}
-            self._spread.note_capacity(capacity, now)
+            self._spread.record_capacity(capacity, now)
             self._spread.follow(self._plan(now), now)
         names = {name: found.names for name, found in regions.items()}
         self._key_map.follow(self._spread.parts, names, now)
 
     def _plan(self, now: float) -> dict[str, float]:
-        self._max_local_share = self._local_share_limit.most_kept(now)
+        self._max_local_share = self._local_share_limit.max_fraction(now)
         loads = self._loads(now)
-        if not self._settled.note(sum(load.demand for load in loads.values()), now):
+        if not self._growth.record(sum(load.demand for load in loads.values()), now):
             loads = assume_even_demand(loads, set(self._zones().values()))
         plan = plan_spread(self._home, loads)
         self._log(loads, plan)
@@ -197,11 +199,11 @@
     def _loads(self, now: float) -> dict[str, RegionLoad]:
         demand = {
             reported.region: reported.rate
-            for reported in self._world.demand
+            for reported in self._view.demand
             if reported.service == self._service
         }
         # Upstreams in backoff, or beyond their named limits, would refuse the requests.
-        excluded = self.outliers(now) | self._table.resting(now)
+        excluded = self.outliers(now) | self._table.backed_off(now)
         rate_per_slot = TARGET_UTILISATION / self._estimate.service_time
         capacity = {
             region: found.capacity(rate_per_slot, excluded, self._table.limits.named)
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -12,11 +12,11 @@
 import trio
 
 from finchway.exceptions import FinchwayError, UnavailableError
-from finchway.feed import Feed, GatewayBeat, ServiceRate, Subscribe, World
+from finchway.feed import ClusterView, Feed, GatewayHeartbeat, ServiceRate, Subscribe
 from finchway.gateway._feed_log import FeedLog
 from finchway.gateway._poll import Poll, ReplicaCursor
 from finchway.gateway._transit import TransitMeter
-from finchway.pushback import NamedLimit
+from finchway.pushback import LimitReport
 from finchway.state import Suspect
 from finchway.transport import Link
 
@@ -39,7 +39,7 @@
 # Shortest interval between polls that are renewed to report something at once.
 REPOLL_INTERVAL_S = 0.5
 # Interval of polls that request the regions' demand, which is the larger part of an answer.
-DEMAND_EVERY_S = 0.5
+DEMAND_INTERVAL_S = 0.5
 
 
 class GatewaySession:
@@ -47,15 +47,15 @@
 
     def __init__(
         self,
-        heartbeat: GatewayBeat,
+        heartbeat: GatewayHeartbeat,
         link: Link,
-        world: World,
+        view: ClusterView,
         seeds: Callable[[], list[str]],
         rates: Callable[[], list[ServiceRate]],
         log: FeedLog,
         apply_suspects: Callable[[list[Suspect]], None] = lambda suspects: None,
-        limits: Callable[[], list[NamedLimit]] = list,
-        apply_limits: Callable[[list[NamedLimit]], None] = lambda words: None,
+        limits: Callable[[], list[LimitReport]] = list,
+        apply_limits: Callable[[list[LimitReport]], None] = lambda reports: None,
     ) -> None:
         self._log = log
         self._apply_suspects = apply_suspects
@@ -63,7 +63,7 @@
         self._apply_limits = apply_limits
         self._heartbeat = heartbeat
         self._link = link
-        self._world = world
+        self._view = view
         self._seeds = seeds
         self._rates = rates
         self._transits = TransitMeter()
@@ -99,7 +99,7 @@
                         nursery.start_soon(self._poll_replica, address)
                 await trio.sleep(RETRY_INTERVAL_S)
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Withdraw from the directory; open polls are renewed to report it."""
         self._leaving = True
         for poll in self._polls.values():
@@ -118,7 +118,7 @@
             poll.end(succeeded=True)
 
     def _addresses(self) -> list[str]:
-        known = sorted(self._world.replicas.values())[:MAX_REPLICAS]
+        known = sorted(self._view.replicas.values())[:MAX_REPLICAS]
         if self._reachable & set(known):
             return known
         return sorted({*known, *self._seeds()})
@@ -134,7 +134,7 @@
                     with trio.move_on_after(POLL_TIMEOUT_S):
                         await poll.wait()
                     if not poll.succeeded:
-                        self._note_unreachable(address)
+                        self._record_unreachable(address)
                     await trio.sleep(POLL_PAUSE_S if poll.succeeded else RETRY_INTERVAL_S)
                 nursery.cancel_scope.cancel()
         finally:
@@ -150,8 +150,8 @@
         sent_at = trio.current_time()
         answer = await self._request_feed(address, cursor, LATE_ANSWER_TIMEOUT_S)
         if answer is not None:
-            self._note_reachable(address)
-            cursor.note(answer)
+            self._record_reachable(address)
+            cursor.record(answer)
             self._apply(answer, sent_at)
         poll.end(succeeded=answer is not None)
 
@@ -173,7 +173,7 @@
         while True:
             silent_for = trio.current_time() - self._last_answer_at
             peers = [
-                a for n, a in sorted(self._world.peers.items()) if n != self._heartbeat.name and a
+                a for n, a in sorted(self._view.peers.items()) if n != self._heartbeat.name and a
             ]
             if silent_for < RELAY_AFTER_S or not peers:
                 await trio.sleep(RETRY_INTERVAL_S)
@@ -185,30 +185,30 @@
                 self._next_peer += 1
                 await trio.sleep(RETRY_INTERVAL_S)
                 continue
-            cursor.note(answer)
+            cursor.record(answer)
             self._apply(answer, sent_at)
             await trio.sleep(POLL_PAUSE_S)
 
-    def _note_unreachable(self, address: str) -> None:
+    def _record_unreachable(self, address: str) -> None:
         if address in self._reachable:
             self._reachable.discard(address)
-            self._log.note_lost(address)
+            self._log.record_lost(address)
 
-    def _note_reachable(self, address: str) -> None:
+    def _record_reachable(self, address: str) -> None:
         self._last_answer_at = trio.current_time()
         if address not in self._reachable:
             self._reachable.add(address)
-            self._log.note_regained(address)
+            self._log.record_regained(address)
 
     async def _request_feed(
         self, address: str, cursor: ReplicaCursor, timeout: float
     ) -> Feed | None:
         request = Subscribe(
             beat=self._next_heartbeat(),
-            revision=self._world.steering.revision,
-            life=cursor.life,
+            revision=self._view.steering.revision,
+            life=cursor.incarnation,
             order=cursor.order,
-            roster=self._world.roster_version(cursor.life),
+            roster=self._view.roster_version(cursor.incarnation),
             demand=self._is_demand_due(),
             rest=cursor.rest,
             limits=cursor.limits,
@@ -222,37 +222,37 @@
             _LOG.debug("no feed from %s: %s", address, error)
             if request.demand:
                 self._demand_requested_at = float("-inf")
-            self._log.note_failed(address, request, sent_at)
+            self._log.record_failed(address, request, sent_at)
             return None
         if not isinstance(answer, Feed):
             return None
         if answer.life == request.life and not request.rest:
             # A first answer and its continuation are large and slow even on an idle link.
             now = trio.current_time()
-            self._transits.note(now - sent_at - answer.held, now)
-        self._log.note_answer(address, request, sent_at, answer, POLL_TIMEOUT_S)
+            self._transits.record(now - sent_at - answer.held, now)
+        self._log.record_answer(address, request, sent_at, answer, POLL_TIMEOUT_S)
         return answer
 
     def _is_demand_due(self) -> bool:
         """Return whether the next poll should request the regions' demand."""
         now = trio.current_time()
-        if now - self._demand_requested_at < DEMAND_EVERY_S:
+        if now - self._demand_requested_at < DEMAND_INTERVAL_S:
             return False
         self._demand_requested_at = now
         return True
 
     def _apply(self, feed: Feed, sent_at: float) -> None:
         if feed.limits is not None:
-            self._apply_limits(feed.limits.words)
-        before = self._world.steering.revision
-        if self._world.learn(feed, trio.current_time(), sent_at):
-            self._log.note_applied(feed, before, self._world.steering.revision)
+            self._apply_limits(feed.limits.reports)
+        before = self._view.steering.revision
+        if self._view.merge(feed, trio.current_time(), sent_at):
+            self._log.record_applied(feed, before, self._view.steering.revision)
             self._apply_suspects(feed.image.suspects)
 
-    def _next_heartbeat(self) -> GatewayBeat:
+    def _next_heartbeat(self) -> GatewayHeartbeat:
         self._sequence += 1
         base = self._heartbeat
-        return GatewayBeat(
+        return GatewayHeartbeat(
             name=base.name,
             incarnation=base.incarnation,
             address=base.address,
@@ -260,8 +260,8 @@
             region=base.region,
             peer=base.peer,
             leaving=self._leaving,
-            ready=self._world.is_ready,
-            revision=self._world.steering.revision,
+            ready=self._view.is_ready,
+            revision=self._view.steering.revision,
             sequence=self._sequence,
             rates=self._rates(),
             pressed=self._transits.is_congested(trio.current_time()),
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -8,16 +8,16 @@
 import trio
 from msgspec import Struct
 
-from finchway.feed import World
-from finchway.gateway._askings import PushbackTracker
+from finchway.feed import ClusterView
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
 from finchway.gateway._limits import LimitTracker
+from finchway.gateway._pushback import PushbackTracker
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._reservation import Reservation
 from finchway.observe import BeliefChanged, DecisionLog
 from finchway.policy import Pacer, rank
-from finchway.pushback import Asked, LimitWords, RestBook
+from finchway.pushback import BackoffTable, LimitReports, Pushback
 from finchway.registry import Registration, UpstreamState
 
 # Fraction of the allowed rate sent to a cold upstream, since two gateways may both believe for a
@@ -56,7 +56,9 @@
         """Number of requests that they process at once."""
         return sum(record.registration.slots for record in self.records.values())
 
-    def capacity(self, rate_per_slot: float, excluded: frozenset[str], limits: LimitWords) -> float:
+    def capacity(
+        self, rate_per_slot: float, excluded: frozenset[str], limits: LimitReports
+    ) -> float:
         """Return the capacity in requests per second, without the excluded upstreams.
 
         `rate_per_slot` is the capacity of one slot. An upstream's named limit caps its capacity.
@@ -65,7 +67,7 @@
         for name, record in self.records.items():
             if name in excluded:
                 continue
-            limit = limits.rate(record.registration.life)
+            limit = limits.rate(record.registration.incarnation)
             record_capacity = record.registration.slots * rate_per_slot
             total += record_capacity if limit is None else min(record_capacity, limit)
         return total
@@ -78,14 +80,14 @@
         self,
         name: str,
         zones: Callable[[], dict[str, str]],
-        world: World,
+        view: ClusterView,
         bounds: Bounds,
         decisions: DecisionLog,
     ) -> None:
         self._decisions = decisions
         self._name = name
         self._zones = zones
-        self._world = world
+        self._view = view
         self._bounds = bounds
         self._records: dict[str, UpstreamRecord] = {}
         self._by_service: dict[str, dict[str, RegionUpstreams]] = {}
@@ -94,7 +96,7 @@
         self._refreshed_at = float("-inf")
         self._applied_changes = -1
         self._opened = 0
-        self._limits = LimitTracker(name, world, self._region_of, decisions)
+        self._limits = LimitTracker(name, view, self._region_of, decisions)
         self._pushback = PushbackTracker(decisions, self._limits.named)
 
     @property
@@ -108,9 +110,9 @@
         return self._opened
 
     @property
-    def rests(self) -> RestBook:
+    def backoffs(self) -> BackoffTable:
         """The backoffs that upstreams have requested."""
-        return self._pushback.rests
+        return self._pushback.backoffs
 
     @property
     def limits(self) -> LimitTracker:
@@ -132,7 +134,7 @@
 
     def regions(self, service: str, now: float) -> dict[str, RegionUpstreams]:
         """Return the upstreams of a service that may get new requests by region."""
-        changed = self._world.changes != self._applied_changes
+        changed = self._view.changes != self._applied_changes
         if changed or now - self._refreshed_at >= _REFRESH_INTERVAL_S:
             self.refresh(now)
         return self._by_service.get(service, {})
@@ -140,18 +142,18 @@
     def refresh(self, now: float) -> None:
         """Update the table from the received feeds."""
         self._refreshed_at = now
-        self._applied_changes = self._world.changes
-        self._world.forget_silent(now)
+        self._applied_changes = self._view.changes
+        self._view.remove_silent(now)
         self._names = {}
         by_service: dict[str, list[UpstreamRecord]] = {}
         seen = set()
-        for known in self._world.registry.all():
+        for known in self._view.registry.all():
             registration = known.registration
             seen.add(registration.instance)
-            self._names[registration.life] = registration.instance
-            record = self._record(registration, known.heard_at)
+            self._names[registration.incarnation] = registration.instance
+            record = self._record(registration, known.received_at)
             state = self._state(registration)
-            self._note_state(record, state, now - known.heard_at)
+            self._record_state(record, state, now - known.received_at)
             if state == IN_USE:
                 by_service.setdefault(registration.service, []).append(record)
             else:
@@ -159,14 +161,14 @@
         for instance in [name for name in self._records if name not in seen]:
             forgotten = self._records.pop(instance)
             forgotten.close_idle()
-            self._note_state(forgotten, "forgotten", -0.001)
+            self._record_state(forgotten, "forgotten", -0.001)
         self._by_service = {
             service: self._by_region(records) for service, records in by_service.items()
         }
 
     def _by_region(self, records: list[UpstreamRecord]) -> dict[str, RegionUpstreams]:
         zones = self._zones()
-        evacuated = self._world.steering.evacuated
+        evacuated = self._view.steering.evacuated
         found: dict[str, dict[str, UpstreamRecord]] = {}
         for record in records:
             zone = record.registration.zone
@@ -177,54 +179,61 @@
             region: RegionUpstreams(tuple(sorted(held)), held) for region, held in found.items()
         }
 
-    def note_outlier(self, record: UpstreamRecord, is_outlier: bool) -> None:
+    def record_outlier(self, record: UpstreamRecord, is_outlier: bool) -> None:
         """Log that an upstream has become an outlier, or is one no longer."""
         states = ("well", OUTLIER) if is_outlier else (OUTLIER, "well")
         self._decisions.write(
             BeliefChanged(
-                subject=f"upstream/{record.registration.life}",
+                subject=f"upstream/{record.registration.incarnation}",
                 now=states[1],
                 before=states[0],
-                source=f"its last answers; bad {record.outlier_state.bad_share:.2f}",
+                source=f"its last answers; bad {record.outlier_state.bad_fraction:.2f}",
             )
         )
 
-    def note_pushback(self, record: UpstreamRecord, pushback: Asked, now: float) -> None:
+    def record_pushback(self, record: UpstreamRecord, pushback: Pushback, now: float) -> None:
         """Apply the pushback of an answer."""
-        if self._pushback.note(record.registration, pushback, now):
+        if self._pushback.record(record.registration, pushback, now):
             self.refresh(now)
 
-    def watch_replaced(self, note: Callable[[UpstreamRecord], None]) -> None:
+    def on_replaced(self, callback: Callable[[UpstreamRecord], None]) -> None:
         """Set the callback for incarnations that a later one has replaced."""
-        self._on_replaced = note
+        self._on_replaced = callback
 
     def was_replaced(self, record: UpstreamRecord) -> bool:
         """Return whether a later incarnation of the upstream has started."""
         return record.state == REPLACED
 
-    def resting(self, now: float) -> frozenset[str]:
+    def backed_off(self, now: float) -> frozenset[str]:
         """Return the upstreams that are in a backoff that they requested."""
-        lives = self.rests.resting(now)
-        return frozenset(self._names[life] for life in lives if life in self._names)
+        incarnations = self.backoffs.backed_off(now)
+        return frozenset(
+            self._names[incarnation] for incarnation in incarnations if incarnation in self._names
+        )
 
     def is_available(self, record: UpstreamRecord, now: float) -> bool:
         """Return whether an upstream may get a request now."""
-        life = record.registration.life
-        if record.backoff_until > now or not self.rests.may_send(life, now):
+        incarnation = record.registration.incarnation
+        if record.backoff_until > now or not self.backoffs.may_send(incarnation, now):
             return False
         # A named limit applies to all gateways together, so each one keeps to its share.
-        return self._limits.allowances.may_send(life, now) and self._cold_allows(record, now)
+        return self._limits.rate_limiter.may_send(incarnation, now) and self._cold_allows(
+            record, now
+        )
 
     def available_in(self, record: UpstreamRecord, now: float) -> float:
         """Return the seconds until an upstream's requested backoff or limit admits a request."""
-        life = record.registration.life
-        return max(self.rests.left(life, now), self._limits.allowances.wait(life, now))
+        incarnation = record.registration.incarnation
+        return max(
+            self.backoffs.remaining_s(incarnation, now),
+            self._limits.rate_limiter.wait(incarnation, now),
+        )
 
     def reserve(self, record: UpstreamRecord, request_id: str, key: str, now: float) -> Reservation:
         """Count a request that is about to be sent."""
         reserved = Reservation(record, request_id)
-        reserved.is_trial = self.rests.begin(reserved.life, now)
-        reserved.is_counted = self._limits.allowances.take(reserved.life, now)
+        reserved.is_trial = self.backoffs.begin(reserved.incarnation, now)
+        reserved.is_counted = self._limits.rate_limiter.take(reserved.incarnation, now)
         record.in_flight += 1
         if record.is_warm(key, now):
             record.warm_in_flight[request_id] = now
@@ -238,9 +247,9 @@
         record.in_flight -= 1
         record.warm_in_flight.pop(reserved.request_id, None)
         if reserved.is_trial:
-            self.rests.end_trial(reserved.life, was_answered)
+            self.backoffs.end_trial(reserved.incarnation, was_answered)
         if reserved.is_counted and not reserved.is_sent:
-            self._limits.allowances.give_back(reserved.life)
+            self._limits.rate_limiter.return_token(reserved.incarnation)
 
     async def connect(self, reserved: Reservation, now: float) -> UpstreamConnection:
         """Return an idle connection or a new one; raises `AttemptError`.
@@ -263,13 +272,16 @@
         )
 
     def _still_available(self, reserved: Reservation, now: float) -> bool:
-        if reserved.record.state != IN_USE or self.rests.left(reserved.life, now) > 0:
+        if (
+            reserved.record.state != IN_USE
+            or self.backoffs.remaining_s(reserved.incarnation, now) > 0
+        ):
             return False
         if reserved.is_counted:
             return True
-        if not self._limits.allowances.may_send(reserved.life, now):
+        if not self._limits.rate_limiter.may_send(reserved.incarnation, now):
             return False
-        reserved.is_counted = self._limits.allowances.take(reserved.life, now)
+        reserved.is_counted = self._limits.rate_limiter.take(reserved.incarnation, now)
         return True
 
     async def open_connection(self, record: UpstreamRecord) -> UpstreamConnection:
@@ -299,57 +311,59 @@
         for record in self._records.values():
             record.close_idle()
 
-    def _region_of(self, life: str) -> str:
+    def _region_of(self, incarnation: str) -> str:
         """Return the region of an incarnation; empty if it is not known."""
-        record = self._records.get(self._names.get(life, ""))
+        record = self._records.get(self._names.get(incarnation, ""))
         if record is None:
             return ""
         zone = record.registration.zone
         return self._zones().get(zone, zone)
 
-    def _record(self, registration: Registration, heard_at: float) -> UpstreamRecord:
+    def _record(self, registration: Registration, received_at: float) -> UpstreamRecord:
         record = self._records.get(registration.instance)
-        if record is not None and record.registration.life != registration.life:
+        if record is not None and record.registration.incarnation != registration.incarnation:
             self._end(record)
             record = None
         if record is None:
             record = self._records[registration.instance] = UpstreamRecord(registration)
             self._pushback.inherit(registration)
         record.registration = registration
-        cold_until = heard_at + registration.cold_for if registration.cold_for > 0 else heard_at
-        ended_at = self._world.evacuation_changed_at(registration.zone)
+        cold_until = (
+            received_at + registration.cold_for if registration.cold_for > 0 else received_at
+        )
+        ended_at = self._view.evacuation_changed_at(registration.zone)
         cold_until = max(cold_until, ended_at + self._cold_start(registration.service))
         record.cold_until = max(record.cold_until, cold_until)
         return record
 
     def _end(self, record: UpstreamRecord) -> None:
         """Close all connections of an incarnation that a later one has replaced."""
-        self._note_state(record, REPLACED, -0.001)
+        self._record_state(record, REPLACED, -0.001)
         record.close_all()
         self._on_replaced(record)
 
     def _cold_start(self, service: str) -> float:
-        spec = self._world.steering.catalog.service(service)
+        spec = self._view.steering.catalog.service(service)
         return (spec.cold_start if spec else 0.0) + self._bounds.heartbeat
 
     def _state(self, registration: Registration) -> str:
         if registration.state is not UpstreamState.READY:
             return registration.state.value
-        if self._pushback.is_leaving(registration.life):
+        if self._pushback.is_leaving(registration.incarnation):
             return LEAVING
-        mark = self._world.steering.mark_of(registration)
+        mark = self._view.steering.mark_of(registration)
         if mark is not None:
             return mark.kind.value
-        if self._world.is_silent(registration.life):
+        if self._view.is_silent(registration.incarnation):
             return SILENT
         return IN_USE
 
-    def _note_state(self, record: UpstreamRecord, state: str, age: float) -> None:
+    def _record_state(self, record: UpstreamRecord, state: str, age: float) -> None:
         if record.state == state:
             return
         self._decisions.write(
             BeliefChanged(
-                subject=f"upstream/{record.registration.life}",
+                subject=f"upstream/{record.registration.incarnation}",
                 now=state,
                 before=record.state,
                 source=f"{record.registration.service} {record.registration.address}",
@@ -367,10 +381,10 @@
             record.pacer = None
             return True
         registration = record.registration
-        spec = self._world.steering.catalog.service(registration.service)
+        spec = self._view.steering.catalog.service(registration.service)
         if spec is None or spec.cold_rate <= 0:
             return True
-        names = self._world.serving
+        names = self._view.serving
         if not names or rank(registration.instance, names)[0] != self._name:
             return False
         if record.pacer is None:
--- a/src/finchway/membership/_coordinator.py
+++ b/src/finchway/membership/_coordinator.py
@@ -29,7 +29,7 @@
     share_name,
     usable_slots,
 )
-from finchway.pushback import LimitNews
+from finchway.pushback import LimitLog
 from finchway.resources import (
     Division,
     Instance,
@@ -65,7 +65,7 @@
         self._lease = lease or LeaseTiming()
         self._registry = HeartbeatRegistry(self._lease, now)
         self._platform = PlatformView()
-        self._limits = LimitNews()
+        self._limits = LimitLog()
         self._max_request_s = _max_request_durations(machine.store)
         self._lender = Lender(loans or LoanTiming(), now)
         self._awaited_holders = {
@@ -94,17 +94,19 @@
         """The lender of slots and its outstanding loans."""
         return self._lender
 
-    def answer(self, heartbeat: Heartbeat, now: float, with_changes: bool = True) -> HeartbeatReply:
+    def handle_heartbeat(
+        self, heartbeat: Heartbeat, now: float, with_changes: bool = True
+    ) -> HeartbeatReply:
         """Answer a heartbeat with the revision, missing changes, lease, loans and rates.
 
         The caller must have confirmed the leadership with a quorum just before.
         """
         self._refresh_indexes()
         is_new = self._registry.record(heartbeat, now)
-        self._limits.learn(heartbeat.limits, now)
+        self._limits.merge(heartbeat.limits, now)
         self._awaited_holders.discard(heartbeat.holder)
         if not self._awaited_holders:
-            self._lender.learn_all()
+            self._lender.mark_all_reported()
         loans = []
         if is_new and not heartbeat.stopped and self._is_registered(heartbeat):
             loans = self._lender.lend(
@@ -145,13 +147,13 @@
         store, registry = self._store, self._registry
         commands += plan_marks(store, registry, now, now_ms)
         commands += plan_drains(store, registry, now, now_ms)
-        commands += plan_moves(self._machine, registry, self.in_force(now), now_ms)
+        commands += plan_moves(self._machine, registry, self.min_applied_revision(now), now_ms)
         if now >= self._expire_at:
             self._expire_at = now + EXPIRE_INTERVAL_S
             commands.append(Expire(now_ms=now_ms))
         return commands
 
-    def in_force(self, now: float) -> int:
+    def min_applied_revision(self, now: float) -> int:
         """Return the highest revision that all entries which may serve have applied.
 
         Silent entries are not counted, since their leases have expired.
--- a/src/finchway/policy/__init__.py
+++ b/src/finchway/policy/__init__.py
@@ -29,9 +29,9 @@
 from finchway.policy._key_map import KeyMap
 from finchway.policy._lender import Lender
 from finchway.policy._limit_parts import part_of_limit
-from finchway.policy._local_fraction import KeepLimit
-from finchway.policy._outliers import Standing, find_poor
-from finchway.policy._placement import HOMES, Candidate, UpstreamOrders, choose_home
+from finchway.policy._local_fraction import LocalFractionLimit
+from finchway.policy._outliers import RecentOutcomes, find_outliers
+from finchway.policy._placement import UPSTREAMS_PER_KEY, Candidate, UpstreamOrders, choose_for_key
 from finchway.policy._region_health import RegionChoice, RegionHealth, RegionTrial
 from finchway.policy._retries import MAX_ATTEMPTS, Attempt, Outcome, RetryBudget, may_retry
 from finchway.policy._routing import Caller, EntryPoint, Routes, caller_position, client_block
@@ -58,14 +58,14 @@
     RegionLoad,
     Spread,
     assume_even_demand,
+    fraction_of_traffic,
     plan_spread,
-    share_of_flow,
 )
-from finchway.policy._windows import AttemptBudget, Pacer, RateMeter, Settled, WindowCount
+from finchway.policy._windows import AttemptBudget, GrowthDetector, Pacer, RateMeter, WindowCount
 
 __all__ = [
     "DEMOTED_RANK",
-    "HOMES",
+    "UPSTREAMS_PER_KEY",
     "MAX_ATTEMPTS",
     "Attempt",
     "BlockTable",
@@ -80,7 +80,7 @@
     "Gate",
     "Grant",
     "Holder",
-    "KeepLimit",
+    "LocalFractionLimit",
     "KeyMap",
     "Lender",
     "LoadReport",
@@ -93,7 +93,7 @@
     "RetryBudget",
     "Routes",
     "ServiceRate",
-    "Settled",
+    "GrowthDetector",
     "ShareKey",
     "ShiftView",
     "Slots",
@@ -102,11 +102,11 @@
     "UpstreamState",
     "WaitingQueue",
     "caller_position",
-    "choose_home",
+    "choose_for_key",
     "client_block",
     "drained_instances",
     "drained_upstreams",
-    "find_poor",
+    "find_outliers",
     "floor_of",
     "floors_in_force",
     "inbound_part",
@@ -135,9 +135,9 @@
     "RegionLoad",
     "RegionTrial",
     "Spread",
-    "Standing",
+    "RecentOutcomes",
     "WindowCount",
     "assume_even_demand",
     "plan_spread",
-    "share_of_flow",
+    "fraction_of_traffic",
 ]
--- a/src/finchway/policy/_key_map.py
+++ b/src/finchway/policy/_key_map.py
@@ -11,9 +11,9 @@
   number of keys is within the bound for the keys that precede it in the order.
 
     keys = KeyMap("north")
-    keys.note("17")
+    keys.record("17")
     keys.follow({"north": 0.7, "south": 0.3}, {"north": ("n1", "n2"), "south": ("s1",)}, now)
-    keys.region_of("17"), keys.home_of("17", "north")
+    keys.region_of("17"), keys.balanced_upstream("17", "north")
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
 class _KeyState(Struct):
     """The position of a recently seen key in the order, and its decayed request count."""
 
-    place: float
+    position: float
     count: float = 0.0
     is_kept: bool | None = None
-    kept_part: float = 1.0
-    owed: float = 0.0
+    kept_fraction: float = 1.0
+    credit: float = 0.0
 
 
 class KeyMap:
@@ -75,14 +75,14 @@
     def __len__(self) -> int:
         return len(self._keys)
 
-    def note(self, key: str) -> None:
+    def record(self, key: str) -> None:
         """Count a request for a key."""
         state = self._keys.get(key)
         if state is None:
             if len(self._keys) >= MAX_KEYS:
                 return
             state = self._keys[key] = _KeyState(position("spread", key))
-            insort(self._order, (state.place, key))
+            insort(self._order, (state.position, key))
             self._keys_changed = True
         state.count += 1.0
 
@@ -112,15 +112,15 @@
             return self._home
         if state is None or state.is_kept is None:
             is_kept = position("spread", key) < self._parts.get(self._home, 0.0)
-        elif 0.0 < state.kept_part < 1.0:
-            state.owed += state.kept_part
-            is_kept = state.owed >= 0.5
-            state.owed -= is_kept
+        elif 0.0 < state.kept_fraction < 1.0:
+            state.credit += state.kept_fraction
+            is_kept = state.credit >= 0.5
+            state.credit -= is_kept
         else:
             is_kept = state.is_kept
         return self._home if is_kept else rank_weighted(key, self._other_parts)[0]
 
-    def region_in_turn(self) -> str:
+    def next_region(self) -> str:
         """Return the region for a request without a key, by weighted round robin."""
         for region, part in self._parts.items():
             self._credits[region] = self._credits.get(region, 0.0) + part
@@ -128,7 +128,7 @@
         self._credits[chosen] -= 1.0
         return chosen
 
-    def home_of(self, key: str, region: str) -> str | None:
+    def balanced_upstream(self, key: str, region: str) -> str | None:
         """Return a key's balanced upstream in a region; None means the first of its order."""
         return self._home_upstreams.get(region, {}).get(key)
 
@@ -141,8 +141,8 @@
             state.count *= decay
         for key in [key for key, state in self._keys.items() if state.count < MIN_COUNT]:
             self._keys_changed = True
-            place = self._keys.pop(key).place
-            del self._order[bisect_left(self._order, (place, key))]
+            key_position = self._keys.pop(key).position
+            del self._order[bisect_left(self._order, (key_position, key))]
             for region in self._upstreams:
                 self._ranks.pop((key, region), None)
 
@@ -162,10 +162,10 @@
             before += width
 
     def _update_kept(self, state: _KeyState, start: float, end: float, part: float) -> None:
-        state.kept_part = 1.0
+        state.kept_fraction = 1.0
         if end - start > SPLIT_THRESHOLD:
             state.is_kept = start < part
-            state.kept_part = min(1.0, max(0.0, (part - start) / (end - start)))
+            state.kept_fraction = min(1.0, max(0.0, (part - start) / (end - start)))
             return
         middle = (start + end) / 2
         if state.is_kept is None:
--- a/src/finchway/policy/_placement.py
+++ b/src/finchway/policy/_placement.py
@@ -7,7 +7,7 @@
 surge every key would reach every upstream and evict the others from its cache.
 
     order = UpstreamOrders().order("17", names)
-    chosen = choose_home([candidates[name] for name in order[:HOMES]])
+    chosen = choose_for_key([candidates[name] for name in order[:UPSTREAMS_PER_KEY]])
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from finchway.policy._hashing import rank
 
 # Upstreams of a region that serve a key; more would evict each other's keys from the caches.
-HOMES = 2
+UPSTREAMS_PER_KEY = 2
 # Maximum requests per slot at which an upstream takes requests for keys of other homes.
 MAX_RELIEF_LOAD = 0.85
 # Maximum requests per slot at which an upstream takes requests for its own keys.
@@ -27,20 +27,20 @@
 class Candidate(Struct):
     """An upstream that may serve a request.
 
-    `busy` is the estimated number of requests in flight from all gateways, `own` the number from
-    this gateway, and `own_most` the limit on the latter.
+    `in_flight` is the estimated number of requests in flight from all gateways, `own_in_flight` the
+    number from this gateway, and `own_limit` the limit on the latter.
     """
 
     instance: str
     slots: int
-    busy: float = 0.0
-    own: int = 0
-    own_most: int = 1_000_000
+    in_flight: float = 0.0
+    own_in_flight: int = 0
+    own_limit: int = 1_000_000
 
     @property
     def load_after(self) -> float:
         """Requests per slot including this one."""
-        return (self.busy + 1) / max(self.slots, 1)
+        return (self.in_flight + 1) / max(self.slots, 1)
 
 
 class UpstreamOrders:
@@ -60,14 +60,14 @@
         return cached
 
 
-def choose_home(ordered: list[Candidate], spilled: bool = False) -> Candidate | None:
+def choose_for_key(ordered: list[Candidate], spilled: bool = False) -> Candidate | None:
     """Return the first candidate of a key's order with room for a request; None if all are full.
 
     The home takes requests up to `MAX_HOME_LOAD` per slot, the others up to `MAX_RELIEF_LOAD`. A
     request that `spilled` over from another region is cached nowhere and has no home.
     """
     for index, candidate in enumerate(ordered):
-        if candidate.own >= candidate.own_most:
+        if candidate.own_in_flight >= candidate.own_limit:
             continue
         is_home = index == 0 and not spilled
         if candidate.load_after <= (MAX_HOME_LOAD if is_home else MAX_RELIEF_LOAD):
--- a/src/finchway/pushback/__init__.py
+++ b/src/finchway/pushback/__init__.py
@@ -4,39 +4,39 @@
 response.
 """
 
-from finchway.pushback._allowance import MIN_RATE, Allowances, Part
+from finchway.pushback._allowance import MIN_RATE, Part, RateLimiter
 from finchway.pushback._backoffs import (
     JITTER_FRACTION,
-    LONGEST_REST_S,
+    MAX_BACKOFF_S,
     MAX_JITTER_S,
-    RestBook,
+    BackoffTable,
 )
 from finchway.pushback._decimal import read_decimal
-from finchway.pushback._leaving import LeavingLives
-from finchway.pushback._limit_log import LimitNews, LimitsHeard, LimitsKnown
-from finchway.pushback._limit_reports import MOST_LIMITS, LimitWords, NamedLimit
-from finchway.pushback._pushback import ASKED_NOTHING, Asked, is_own_answer, read_asked
+from finchway.pushback._leaving import LeavingIncarnations
+from finchway.pushback._limit_log import LimitLog, LimitLogEntries, LimitLogPosition
+from finchway.pushback._limit_reports import MAX_LIMITS, LimitReport, LimitReports
+from finchway.pushback._pushback import NO_PUSHBACK, Pushback, is_own_answer, read_pushback
 from finchway.pushback._retry_after import read_retry_after
 
 __all__ = [
-    "ASKED_NOTHING",
+    "NO_PUSHBACK",
     "MIN_RATE",
-    "LONGEST_REST_S",
+    "MAX_BACKOFF_S",
     "MAX_JITTER_S",
-    "MOST_LIMITS",
+    "MAX_LIMITS",
     "JITTER_FRACTION",
-    "Allowances",
-    "Asked",
-    "LeavingLives",
-    "LimitNews",
-    "LimitWords",
-    "LimitsHeard",
-    "LimitsKnown",
-    "NamedLimit",
+    "RateLimiter",
+    "Pushback",
+    "LeavingIncarnations",
+    "LimitLog",
+    "LimitReports",
+    "LimitLogEntries",
+    "LimitLogPosition",
+    "LimitReport",
     "Part",
-    "RestBook",
+    "BackoffTable",
     "is_own_answer",
-    "read_asked",
+    "read_pushback",
     "read_decimal",
     "read_retry_after",
 ]
--- a/src/finchway/state/_suspects.py
+++ b/src/finchway/state/_suspects.py
@@ -16,12 +16,12 @@
 
 # Consecutive crashes before a request is quarantined. Fewer may be coincidence, since a crash
 # affects all requests in flight at the upstream.
-QUARANTINE_AFTER = 3
+QUARANTINE_THRESHOLD = 3
 # Time after which a suspicion lapses without a further crash.
 SUSPICION_MS = 60_000
 # Duration of the first, second, ... quarantine of a request. The first is short, in case the
 # upstreams were at fault. Later ones are long, since each trial may crash another upstream.
-QUARANTINED_FOR_MS = (60_000, 600_000, 3_600_000, 86_400_000)
+QUARANTINE_DURATIONS_MS = (60_000, 600_000, 3_600_000, 86_400_000)
 # Maximum number of quarantined requests. With more, the upstreams themselves are likely at fault.
 MAX_QUARANTINED = 32
 # Limits the size of the table, which each gateway receives in full when it connects.
@@ -47,28 +47,28 @@
 class RequestReport(Struct, frozen=True, array_like=True):
     """A gateway's report that an upstream crashed with the request in flight, or answered it.
 
-    `ended` is the incarnation of the upstream that crashed, `ends` the number of consecutive
-    crashes including this one.
+    `crashed_upstream` is the incarnation of the upstream that crashed, `crashes` the number of
+    consecutive crashes including this one.
     """
 
     request: str
-    ends: int = 0
-    ended: str = ""
+    crashes: int = 0
+    crashed_upstream: str = ""
     answered: bool = False
 
 
 class Suspect(Struct, frozen=True, array_like=True):
     """A request, its number of consecutive crashes, and the revision of its last change.
 
-    `ended` lists the last crashed incarnations. At `until_ms`, in the time of the state machine,
-    the state changes without a report. `quarantines` counts the quarantines so far.
+    `crashed_upstreams` lists the last crashed incarnations. At `until_ms`, in the time of the state
+    machine, the state changes without a report. `quarantines` counts the quarantines so far.
     """
 
     revision: int
     request: str
     state: SuspectState
-    ends: int
-    ended: tuple[str, ...]
+    crashes: int
+    crashed_upstreams: tuple[str, ...]
     until_ms: int
     quarantines: int = 0
 
@@ -83,7 +83,7 @@
 
     def __init__(self, held: list[Suspect] = ()) -> None:
         self._held = {suspect.request: suspect for suspect in held}
-        self._dropped = 0
+        self._evicted = 0
 
     def __len__(self) -> int:
         return len(self._held)
@@ -97,9 +97,9 @@
         return list(self._held.values())
 
     @property
-    def dropped(self) -> int:
+    def evicted(self) -> int:
         """The number of suspects that this copy has evicted because the table was full."""
-        return self._dropped
+        return self._evicted
 
     def get(self, request: str) -> Suspect | None:
         """Return the record of a request, or None."""
@@ -123,10 +123,12 @@
         suspect = self._held.get(report.request)
         if suspect is None or not suspect.is_current:
             suspect = Suspect(0, report.request, SuspectState.SUSPECTED, 0, (), 0)
-        if report.ends <= suspect.ends:
+        if report.crashes <= suspect.crashes:
             return False
-        crashed = (*suspect.ended, report.ended)[-MAX_RECORDED_INCARNATIONS:]
-        changed = replace(suspect, revision=revision, ends=report.ends, ended=crashed)
+        crashed = (*suspect.crashed_upstreams, report.crashed_upstream)[-MAX_RECORDED_INCARNATIONS:]
+        changed = replace(
+            suspect, revision=revision, crashes=report.crashes, crashed_upstreams=crashed
+        )
         if suspect.state is not SuspectState.QUARANTINED:
             changed = self._quarantine_if_due(changed, now_ms)
         self.put(changed)
@@ -148,7 +150,7 @@
         for suspect in due:
             match suspect.state:
                 case SuspectState.QUARANTINED:
-                    until_ms = now_ms + QUARANTINED_FOR_MS[-1]
+                    until_ms = now_ms + QUARANTINE_DURATIONS_MS[-1]
                     state = SuspectState.ON_TRIAL
                     self.put(replace(suspect, revision=revision, state=state, until_ms=until_ms))
                     changed = True
@@ -161,9 +163,11 @@
     def _quarantine_if_due(self, suspect: Suspect, now_ms: int) -> Suspect:
         """Quarantine a request at the crash threshold, unless too many are quarantined."""
         quarantined = sum(s.state is SuspectState.QUARANTINED for s in self._held.values())
-        if suspect.ends < QUARANTINE_AFTER or quarantined >= MAX_QUARANTINED:
+        if suspect.crashes < QUARANTINE_THRESHOLD or quarantined >= MAX_QUARANTINED:
             return replace(suspect, until_ms=now_ms + SUSPICION_MS)
-        wait_ms = QUARANTINED_FOR_MS[min(suspect.quarantines, len(QUARANTINED_FOR_MS) - 1)]
+        wait_ms = QUARANTINE_DURATIONS_MS[
+            min(suspect.quarantines, len(QUARANTINE_DURATIONS_MS) - 1)
+        ]
         return replace(
             suspect,
             state=SuspectState.QUARANTINED,
@@ -177,7 +181,7 @@
             return
         evicted = min(self._held.values(), key=_eviction_rank)
         del self._held[evicted.request]
-        self._dropped += 1
+        self._evicted += 1
 
 
 def _eviction_rank(suspect: Suspect) -> tuple[int, int]:
@@ -186,5 +190,5 @@
         case SuspectState.CLEARED:
             return 0, 0
         case SuspectState.SUSPECTED:
-            return 1, suspect.ends
+            return 1, suspect.crashes
     return 2, suspect.quarantines
--- a/tests/gateway/test_spread_with_limits.py
+++ b/tests/gateway/test_spread_with_limits.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from finchway.pushback import NamedLimit
+from finchway.pushback import LimitReport
 from tests.gateway.test_router import (
     RouterUnderTest,
     on_virtual_time,
@@ -16,7 +16,7 @@
 
 
 def name_limits(subject, names, rate):
-    subject.table.limits.learn([NamedLimit(name, rate, 0.0) for name in names])
+    subject.table.limits.merge([LimitReport(name, rate, 0.0) for name in names])
 
 
 @on_virtual_time
@@ -30,7 +30,7 @@
     soon = await remote_fraction_after(subject, WINDOW_S)
     assert 0.0 < soon <= MAX_SHIFT_PER_WINDOW
     assert await remote_fraction_after(subject, 20.0) > soon
-    local_share = subject.router.choose(subject.task("k"), trio.current_time()).kept_part
+    local_share = subject.router.choose(subject.context("k"), trio.current_time()).local_share
     assert abs(local_share - 34 / 56) < 0.02
     name_limits(subject, ("n0", "n1", "n2"), None)
     assert await remote_fraction_after(subject, 40.0) == 0.0
@@ -55,6 +55,6 @@
     now = trio.current_time()
     subject.table.reserve(subject.table.get("n0"), "id", "k", now)
     for number in range(5):
-        choice = subject.router.choose(subject.task(f"k-{number}"), now)
+        choice = subject.router.choose(subject.context(f"k-{number}"), now)
         assert choice is not None
-        assert (choice.region, choice.passed.at_limit) == ("south", 1)
+        assert (choice.region, choice.skipped.at_limit) == ("south", 1)
--- a/tests/gateway/test_suspect_requests.py
+++ b/tests/gateway/test_suspect_requests.py
@@ -186,7 +186,7 @@
 def apply_reports(subject, *reports) -> None:
     """Apply reports of other gateways."""
     subject.steering.report_requests(ReportRequests(now_ms=0, reports=list(reports)), 0)
-    image = subject.steering.image(subject.world.steering.revision)
+    image = subject.steering.image(subject.view.steering.revision)
     subject.apply_feed()
     subject.suspects.update(image.suspects)
 
@@ -210,8 +210,8 @@
         await send_request(subject, 1)
         await trio.sleep(0.1)
         report = subject.reports[-1]
-        assert report.ends == 2
-        assert report.ended in {f"i-{n}" for n in range(UPSTREAMS)}
+        assert report.crashes == 2
+        assert report.crashed_upstream in {f"i-{n}" for n in range(UPSTREAMS)}
         apply_reports(subject, report)
         for upstream in upstreams:
             upstream._crashing_paths = ()
@@ -283,8 +283,8 @@
 
             subject.nursery.start_soon(call)
             await started.wait()
-            (task,) = subject.suspects._in_progress
-            apply_reports(subject, RequestReport(task.fingerprint, 3, "elsewhere"))
+            (context,) = subject.suspects._in_progress
+            apply_reports(subject, RequestReport(context.fingerprint, 3, "elsewhere"))
             with trio.fail_after(1.0):
                 await upstream.ended.wait()
                 while not answers:
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -15,11 +15,11 @@
 )
 from finchway.control._feed import FeedServer
 from finchway.entry import ControlSession, EntryIdentity, EntryView
-from finchway.feed import Feed, GatewayBeat, Subscribe, World
+from finchway.feed import ClusterView, Feed, GatewayHeartbeat, Subscribe
 from finchway.membership import HeartbeatReply, LeaseTiming
 from finchway.observe import LogicalClock, Timeline
 from finchway.policy import Holder, Loan, LoanTiming
-from finchway.pushback import Allowances, LimitWords, Part
+from finchway.pushback import LimitReports, Part, RateLimiter
 from finchway.resources import Division, Share
 from finchway.state import SteeringImage
 from tests.unit.test_feed_server import IdleRunner
@@ -55,12 +55,12 @@
 
 def test_ages_count_a_suspension():
     async def check(machine):
-        world = World()
+        view = ClusterView()
         feed = Feed(life="l", order=0, image=SteeringImage(), age=0.0)
-        world.learn(feed, trio.current_time(), trio.current_time())
-        assert world.knows_all_until(trio.current_time() - 2.5)
+        view.merge(feed, trio.current_time(), trio.current_time())
+        assert view.is_current_as_of(trio.current_time() - 2.5)
         machine.suspended += 5.0
-        assert not world.knows_all_until(trio.current_time() - 2.5)
+        assert not view.is_current_as_of(trio.current_time() - 2.5)
 
     play(check)
 
@@ -84,23 +84,25 @@
 def test_a_replica_that_wakes_tells_how_old_its_state_is():
     async def check(machine):
         runner = IdleRunner()
-        runner.covered_at = trio.current_time()
-        desk = FeedServer(runner, None, 1.5)
-        beat = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r")
+        runner.current_as_of = trio.current_time()
+        server = FeedServer(runner, None, 1.5)
+        heartbeat = GatewayHeartbeat(name="g", incarnation="1", address="", zone="z", region="r")
         machine.suspended += 5.0
-        return (await desk.answer(Subscribe(beat=beat, revision=0))).age
+        return (await server.answer(Subscribe(beat=heartbeat, revision=0))).age
 
     assert play(check) >= 5.0
 
 
 def test_a_gateway_that_wakes_is_not_named_until_it_is_heard_again():
     async def check(machine):
-        desk = FeedServer(IdleRunner(), None, 1.5)
-        beat = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r", ready=True)
-        await desk.answer(Subscribe(beat=beat, revision=0))
-        assert len(desk.gateways.serving(trio.current_time())) == 1
+        server = FeedServer(IdleRunner(), None, 1.5)
+        heartbeat = GatewayHeartbeat(
+            name="g", incarnation="1", address="", zone="z", region="r", ready=True
+        )
+        await server.answer(Subscribe(beat=heartbeat, revision=0))
+        assert len(server.gateways.serving(trio.current_time())) == 1
         machine.suspended += 5.0
-        assert desk.gateways.serving(trio.current_time()) == []
+        assert server.gateways.serving(trio.current_time()) == []
 
     play(check)
 
@@ -125,12 +127,12 @@
             10.0,
             lambda: 0,
         )
-        assert await session.beat()
-        assert session.has_lease and session.is_in_touch
+        assert await session.send_heartbeat()
+        assert session.has_lease and session.is_leader_reachable
         machine.suspended += 5.0
         assert not session.has_lease
-        assert not session.is_in_touch
-        assert await session.beat()
+        assert not session.is_leader_reachable
+        assert await session.send_heartbeat()
         assert session.has_lease
 
     play(check)
@@ -156,13 +158,15 @@
 
 def test_what_a_limit_allows_does_not_pile_up_over_a_suspension():
     async def check(machine):
-        words = LimitWords()
-        allowances = Allowances(words, random.Random(1), lambda life, limit, now: Part(limit, 2.0))
-        words.hear("i-1", 1.0, trio.current_time(), trio.current_time())
+        reports = LimitReports()
+        rate_limiter = RateLimiter(
+            reports, random.Random(1), lambda incarnation, limit, now: Part(limit, 2.0)
+        )
+        reports.record("i-1", 1.0, trio.current_time(), trio.current_time())
         machine.suspended += 60.0
         sent = 0
-        while allowances.may_send("i-1", trio.current_time()):
-            allowances.take("i-1", trio.current_time())
+        while rate_limiter.may_send("i-1", trio.current_time()):
+            rate_limiter.take("i-1", trio.current_time())
             sent += 1
         assert sent <= 2
 
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from finchway.state import (
-    QUARANTINED_FOR_MS,
+    QUARANTINE_DURATIONS_MS,
     Expire,
     ReportRequests,
     RequestReport,
@@ -45,13 +45,13 @@
     assert suspect_of(machine).state is SuspectState.SUSPECTED
     report(machine, crash_report(3))
     assert suspect_of(machine).state is SuspectState.QUARANTINED
-    assert suspect_of(machine).ended == ("upstream-1", "upstream-2", "upstream-3")
+    assert suspect_of(machine).crashed_upstreams == ("upstream-1", "upstream-2", "upstream-3")
 
 
 def test_simultaneous_crashes_count_once():
     machine = machine_with(*(crash_report(1, incarnation) for incarnation in "abcde"))
-    assert suspect_of(machine).ends == 1
-    assert suspect_of(machine).ended == ("a",)
+    assert suspect_of(machine).crashes == 1
+    assert suspect_of(machine).crashed_upstreams == ("a",)
 
 
 def test_duplicate_or_late_report_is_ignored():
@@ -64,7 +64,7 @@
 def test_answer_clears_a_request_and_resets_the_count():
     machine = machine_with(crash_report(2), answer_report(), crash_report(1), crash_report(2))
     assert suspect_of(machine).state is SuspectState.SUSPECTED
-    assert suspect_of(machine).ends == 2
+    assert suspect_of(machine).crashes == 2
 
 
 def test_copy_receives_each_state_change():
@@ -93,7 +93,7 @@
 def test_quarantine_grows_with_each_failed_trial():
     machine = machine_with(crash_report(3))
     now_ms = 0
-    for place, wait_ms in enumerate((*QUARANTINED_FOR_MS, QUARANTINED_FOR_MS[-1])):
+    for place, wait_ms in enumerate((*QUARANTINE_DURATIONS_MS, QUARANTINE_DURATIONS_MS[-1])):
         machine.apply(Expire(now_ms=now_ms + wait_ms - 1))
         assert suspect_of(machine).state is SuspectState.QUARANTINED
         now_ms += wait_ms
@@ -113,8 +113,8 @@
 
 def test_answered_trial_clears_the_request():
     machine = machine_with(crash_report(3))
-    machine.apply(Expire(now_ms=QUARANTINED_FOR_MS[0]))
-    report(machine, answer_report(), now_ms=QUARANTINED_FOR_MS[0])
+    machine.apply(Expire(now_ms=QUARANTINE_DURATIONS_MS[0]))
+    report(machine, answer_report(), now_ms=QUARANTINE_DURATIONS_MS[0])
     assert not suspect_of(machine).is_current
 
 
@@ -130,7 +130,7 @@
         report(machine, crash_report(1, request=f"r{number}"))
     suspects = machine.steering.suspects
     assert len(suspects) == MAX_SUSPECTS
-    assert suspects.dropped == 6
+    assert suspects.evicted == 6
     assert suspect_of(machine).state is SuspectState.QUARANTINED
     assert suspects.get("r0") is None
 
@@ -141,7 +141,7 @@
     other.restore(machine.snapshot())
     assert other.digest() == machine.digest()
     report(other, crash_report(2, request="other"))
-    assert suspect_of(other, "other").ended == ("upstream-1", "upstream-2")
+    assert suspect_of(other, "other").crashed_upstreams == ("upstream-1", "upstream-2")
 
 
 def test_image_without_suspects_can_be_decoded():
