--- a/bench/rests.py
+++ b/bench/rests.py
@@ -227,7 +227,7 @@
         while True:
             version += 1
             for gateway in self._gateways:
-                while gateway.writer._take():
+                while gateway.writer._next_batch():
                     pass
                 now = trio.current_time()
                 gateway.world.learn(self._feed(version), now)
--- a/src/finchway/observe/__init__.py
+++ b/src/finchway/observe/__init__.py
@@ -1,4 +1,4 @@
-"""What a process shows of itself: the time line of events, metrics and logs."""
+"""Observability of a process: event timeline, metrics and structured logs."""
 
 from finchway.observe._decisions import (
     AnyDecision,
--- a/src/finchway/observe/_decisions.py
+++ b/src/finchway/observe/_decisions.py
@@ -1,6 +1,6 @@
-"""The decisions that a process logs, each a typed line with the inputs that decided it.
+"""Structured log records of a process's decisions, each with the inputs that led to it.
 
-Ages are in milliseconds at the time of the decision. Bodies and credentials never get here.
+Ages are in milliseconds at the time of the decision. Bodies and credentials are never logged.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 
 
 class Decision(Struct, frozen=True, kw_only=True, tag_field="event", omit_defaults=True):
-    """The base of all lines."""
+    """Base class of all decision records."""
 
     @property
     def is_vital(self) -> bool:
-        """Whether the line outlives those of requests that went well."""
+        """Whether the line goes to the queue that is the last to drop lines."""
         return True
 
 
 class RequestEnded(Decision, frozen=True, kw_only=True, tag="request"):
-    """The end of a caller's request: what the caller was told, and why.
-
-    `revision` is the configuration that routed it, `heard_ms` the age of the newest feed, and
-    `known_ms` the age of the moment up to which all that was accepted is known here. Refusals
-    before any attempt also tell `up_ms`, the age of the process, and `lag_ms`, how late its
-    event loop ran in the last second. `digest` is the same each time that a caller sends the
-    same request; it is there for those that failed, once any is suspected of ending upstreams.
-    `back_ms` is the time until an upstream wants requests again, where all of them rest.
+    """The end of a caller's request: the status that was returned, and the reason.
+
+    `revision` is the configuration that routed it, `heard_ms` the age of the latest feed, and
+    `known_ms` the age of the time up to which all accepted changes are known here. Requests that
+    are refused before any attempt also have `up_ms`, the process's uptime, and `lag_ms`, the event
+    loop's lag over the last second. `digest` identifies equal requests of a caller; it is set for
+    failed requests while any request is suspected of crashing upstreams. `back_ms` is the time
+    until the first upstream is available again if all of them are in backoff.
     """
 
     id: str
@@ -53,24 +53,25 @@
 
     @property
     def is_vital(self) -> bool:
-        """Failures and refusals are vital."""
+        """True for failed and refused requests."""
         return self.status >= 400 or self.status == 0
 
 
 class AttemptEnded(Decision, frozen=True, kw_only=True, tag="attempt"):
-    """One attempt at an upstream: why it was chosen, and how it ended.
-
-    What decided stands as it was when the choice was made: `reason` is home, relief, trial or
-    other-region; `busy` the estimated requests at the upstream, resting on a report of `report_ms`
-    before (-1: none); `heard_ms` the age of the newest word of a replica; `kept` the part of the
-    service's requests that this region keeps; `passed_over` the upstreams that were passed over for
-    the rest that they had asked for, and `rest_left_ms` what was left of this one's. `asked_ms` is
-    the rest that the answer asks for, `leaving` that it says that the upstream leaves. `limit` are
-    the requests a second that the upstream had said it takes, `limit_ms` before, `limit_part` those
-    that this gateway may send of them and `limit_holders` among how many they are divided;
-    `at_limit` counts the upstreams that were passed over for their limits, and `named_limit` is
-    what this answer names. `digest`
-    names the request, whenever it is sent, where it is not known how the attempt ended.
+    """One attempt at an upstream: why it was selected, and how it ended.
+
+    The inputs are as of the selection: `reason` is home, relief, trial or other-region; `busy` the
+    estimated load of the upstream in requests, based on a report `report_ms` old (-1: none);
+    `heard_ms` the age of the latest message from a replica; `kept` the fraction of the service's
+    requests that this region handles itself; `passed_over` the number of upstreams skipped because
+    of backoff, and `rest_left_ms` the remaining backoff of the selected one. `limit` is the rate
+    limit that the upstream had reported `limit_ms` before, in requests per second, `limit_part`
+    this gateway's part of it and `limit_holders` the number of gateways that divide it; `at_limit`
+    counts the upstreams skipped because of their limits.
+
+    From the response: `asked_ms` is the backoff that it requests, `leaving` whether it announces
+    that the upstream is leaving, and `named_limit` the rate limit that it reports. `digest`
+    identifies equal requests; it is set where the outcome of the attempt is unknown.
     """
 
     id: str
@@ -103,15 +104,15 @@
 
     @property
     def is_vital(self) -> bool:
-        """Attempts that brought no answer are vital."""
+        """True for attempts that returned no answer."""
         return self.result != "answered"
 
 
 class UpstreamEnded(Decision, frozen=True, kw_only=True, tag="upstream-ended"):
-    """An upstream's connection broke under a request, and nothing listens at its address any more.
+    """An upstream crashed: its connection broke during a request, and its address refuses new ones.
 
-    `digest` names the request whenever it is sent; `ended` counts the upstreams that ended under it
-    one after the other, as far as this gateway knows, and `under_way` are its other requests there.
+    `digest` identifies equal requests; `ended` counts the consecutive crashes during this request
+    that this gateway knows of, `under_way` the gateway's other requests in flight at the upstream.
     """
 
     id: str
@@ -125,7 +126,7 @@
 
 
 class RepeatDenied(Decision, frozen=True, kw_only=True, tag="repeat-denied"):
-    """A further attempt was not made, and why."""
+    """A retry that was not made, and the reason."""
 
     id: str
     service: str
@@ -134,7 +135,7 @@
 
 
 class FeedOutcome(Enum):
-    """How a question to a replica went, where that is worth a line."""
+    """Outcome of a poll of a replica that is logged."""
 
     FIRST = "first"
     SLOW = "slow"
@@ -143,11 +144,11 @@
 
 
 class FeedEnded(Decision, frozen=True, kw_only=True, tag="feed"):
-    """A replica's first answer, a slow or late one, or a question that was given up.
+    """A replica's first answer, a slow or late one, or a poll that was given up.
 
-    `ms` counts from the question, `held_ms` is how much of it the replica waited for news;
-    `upstreams` are those in the answer, `revision` is the steering revision known before it, and
-    `lag_ms` is how late the event loop ran in the last second.
+    `ms` is the time since the poll was sent, `held_ms` the part of it for which the replica waited
+    for changes; `upstreams` counts those in the answer, `revision` is the steering revision known
+    before it, and `lag_ms` the event loop's lag over the last second.
     """
 
     replica: str
@@ -160,7 +161,7 @@
 
 
 class BeliefChanged(Decision, frozen=True, kw_only=True, tag="belief"):
-    """Something this process holds to be true changed."""
+    """The process's view of an upstream, replica, zone or other subject changed."""
 
     subject: str
     now: str
@@ -171,7 +172,7 @@
 
 
 class RegionShare(Struct, frozen=True):
-    """One region in a plan: requests a second asked and bearable, and its planned part."""
+    """A region in a plan: demand and capacity in requests per second, and the planned fraction."""
 
     demand: float
     capacity: float
@@ -179,11 +180,11 @@
 
 
 class PlanChanged(Decision, frozen=True, kw_only=True, tag="plan"):
-    """A gateway's plan for a service has moved: which part of its requests goes to which region.
+    """A gateway's plan for a service changed: the fraction of its requests for each region.
 
-    `work_ms` is the estimated work of a request, `most_kept` the part that the region's upstreams
-    can remember, `kept` the part that is kept now, on its way to the planned one; `poor` counts
-    upstreams left out for poor answers.
+    `work_ms` is the estimated service time of a request, `most_kept` the largest fraction for which
+    the home region's upstreams can keep the keys warm, `kept` the fraction handled there now, which
+    approaches the planned one step by step; `poor` counts the upstreams ejected as outliers.
     """
 
     service: str
@@ -195,14 +196,14 @@
 
 
 class ProcessChanged(Decision, frozen=True, kw_only=True, tag="process"):
-    """The process started, stops, read its settings anew, or lost or regained a dependency."""
+    """The process started, stops, reloaded its settings, or lost or regained a dependency."""
 
     change: str
     detail: str = ""
 
 
 class OrderEnded(Decision, frozen=True, kw_only=True, tag="order"):
-    """The end of an operator's or upstream's order at a replica.
+    """The end of a command from an operator or an upstream at a replica.
 
     `outcome` is committed, refused, conflict or open (no quorum confirmed it in time); `revision`
     is the steering revision at this replica.
@@ -230,7 +231,7 @@
 
 
 class DecisionLog:
-    """Encodes decisions and queues them."""
+    """Encodes decisions as JSON lines and queues them at a `LogWriter`."""
 
     def __init__(self, instance: str, writer: LogWriter) -> None:
         self._writer = writer
@@ -239,10 +240,10 @@
 
     @property
     def writer(self) -> LogWriter:
-        """Where the lines go."""
+        """The writer that the lines are queued at."""
         return self._writer
 
     def write(self, decision: AnyDecision) -> None:
-        """Queue one line; never waits."""
+        """Queue one line without blocking."""
         line = b'{"t":%.3f,"instance":%s,' % (time.time(), self._prefix)
         self._writer.put(line + self._encoder.encode(decision)[1:], decision.is_vital)
--- a/src/finchway/observe/_events.py
+++ b/src/finchway/observe/_events.py
@@ -1,8 +1,8 @@
-"""The time line: typed events of one process, with a logical clock that spans all of them.
+"""Typed events of a process, ordered across processes by a logical clock.
 
 Events are decisions and changes of state, not requests. Each message between processes carries
-the sender's clock, so an event that another one caused has the larger number, whatever the wall
-clocks say.
+the sender's logical clock, so an event always has a larger number than the events that caused it,
+independent of the wall clocks.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from msgspec import Struct
 
 _LOG = logging.getLogger("finchway.events")
-EVENT_LIMIT = 5_000
+MAX_EVENTS = 5_000
 
 
 class EventKind(Enum):
-    """What kinds of decisions and changes the time line shows."""
+    """Kind of a decision or change of state."""
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -47,7 +47,7 @@
 
 
 class Event(Struct, frozen=True):
-    """One entry of the time line; `time_ms` is Unix time, `clock` the logical clock."""
+    """One entry of the timeline; `time_ms` is Unix time, `clock` the logical clock."""
 
     sequence: int
     clock: int
@@ -59,7 +59,7 @@
 
 
 class LogicalClock:
-    """A counter that is always ahead of every clock it has seen (Lamport's clock)."""
+    """A Lamport clock: a counter that is never behind any clock it has witnessed."""
 
     __slots__ = ("_value",)
 
@@ -68,21 +68,21 @@
 
     @property
     def value(self) -> int:
-        """The present value."""
+        """The current value."""
         return self._value
 
     def tick(self) -> int:
-        """Count one step and return the new value."""
+        """Increment the clock and return the new value."""
         self._value += 1
         return self._value
 
     def witness(self, other: int) -> None:
-        """Move past a clock that came with a message."""
+        """Advance to the clock of a received message if that is ahead."""
         self._value = max(self._value, other)
 
 
 class Timeline:
-    """The recent events of one process."""
+    """The most recent events of one process."""
 
     __slots__ = ("_clock", "_events", "_instance", "_now_ms", "_sequence")
 
@@ -91,7 +91,7 @@
         instance: str,
         clock: LogicalClock,
         now_ms: Callable[[], int],
-        limit: int = EVENT_LIMIT,
+        limit: int = MAX_EVENTS,
     ) -> None:
         self._instance = instance
         self._clock = clock
@@ -121,11 +121,11 @@
         return event
 
     def since(self, sequence: int, limit: int = 500) -> list[Event]:
-        """Return the events after a sequence number that are still held."""
+        """Return up to `limit` retained events after a sequence number."""
         return [event for event in self._events if event.sequence > sequence][:limit]
 
 
 def merge(streams: list[list[Event]]) -> list[Event]:
-    """Merge events of several processes into one order that respects cause and effect."""
+    """Merge events of several processes into one order that preserves causality."""
     events = [event for stream in streams for event in stream]
     return sorted(events, key=lambda event: (event.clock, event.time_ms, event.instance))
--- a/src/finchway/observe/_gateway_metrics.py
+++ b/src/finchway/observe/_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway counts, in the Prometheus text form; all label sets are bounded by the catalog."""
+"""Prometheus metrics of a gateway; the catalog bounds all label sets."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from aioprometheus.renderer import render
 from msgspec import Struct
 
-FEED_BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.5, 5.0, float("inf"))
+POLL_LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.5, 5.0, float("inf"))
 LATENCY_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 2.0, 5.0, float("inf"))
 
 
 class LimitTotals(Struct):
-    """What the upstreams of one service that name a limit take, and this gateway's part of it."""
+    """Sum of the rate limits that a service's upstreams report, and this gateway's part of it."""
 
     upstreams: int = 0
     named: float = 0.0
@@ -21,7 +21,7 @@
 
 
 class GatewayState(Struct, frozen=True, kw_only=True):
-    """What a gateway holds at the moment of a scrape."""
+    """State of a gateway at the time of a scrape."""
 
     revision: int
     feed_age_s: float
@@ -41,7 +41,7 @@
 
 
 class GatewayMetrics:
-    """The counters, histograms and gauges of one gateway."""
+    """Counters, histograms and gauges of a gateway."""
 
     def __init__(self, instance: str) -> None:
         labels = {"instance": instance}
@@ -52,10 +52,10 @@
         self._attempts = Counter(
             "finchway_gateway_attempts_total", "Attempts at upstreams by result", labels, registry
         )
-        self._denied = Counter(
+        self._retries_denied = Counter(
             "finchway_gateway_repeats_denied_total", "Attempts not repeated", labels, registry
         )
-        self._ended = Counter(
+        self._crashes = Counter(
             "finchway_gateway_upstreams_ended_total",
             "Upstreams that ended under a request, by request",
             labels,
@@ -67,21 +67,21 @@
             labels,
             registry,
         )
-        self._asked = Counter(
+        self._pushback = Counter(
             "finchway_gateway_asked_total",
             "Answers of upstreams that ask something, by what they ask; unreadable ones too",
             labels,
             registry,
         )
-        self._feeds = Counter(
+        self._polls = Counter(
             "finchway_gateway_feeds_total", "Questions to replicas by outcome", labels, registry
         )
-        self._feed_latency = Histogram(
+        self._poll_latency = Histogram(
             "finchway_gateway_feed_transit_seconds",
             "Time from a question to its answer, less what the replica waited for news",
             labels,
             registry,
-            buckets=FEED_BUCKETS_S,
+            buckets=POLL_LATENCY_BUCKETS_S,
         )
         self._latency = Histogram(
             "finchway_gateway_latency_seconds",
@@ -90,7 +90,7 @@
             registry,
             buckets=LATENCY_BUCKETS_S,
         )
-        self._gauge = Gauge("finchway_gateway_state", "State by name", labels, registry)
+        self._state = Gauge("finchway_gateway_state", "State by name", labels, registry)
         self._upstreams = Gauge(
             "finchway_gateway_upstreams", "Upstreams by state", labels, registry
         )
@@ -102,42 +102,42 @@
         )
 
     def count_request(self, service: str, priority: int, status: int, seconds: float) -> None:
-        """Count one request that has been answered."""
+        """Count an answered request and its latency."""
         labels = {"service": service, "priority": str(priority)}
         self._requests.inc({**labels, "status": str(status)})
         self._latency.observe(labels, seconds)
 
     def count_attempt(self, service: str, result: str) -> None:
-        """Count one attempt at an upstream."""
+        """Count an attempt at an upstream."""
         self._attempts.inc({"service": service, "result": result})
 
     def count_upstream_ended(self, service: str) -> None:
-        """Count a request under which an upstream ended."""
-        self._ended.inc({"service": service})
+        """Count a request during which an upstream crashed."""
+        self._crashes.inc({"service": service})
 
     def count_quarantined(self, service: str) -> None:
-        """Count a request that was refused since upstreams end under it."""
+        """Count a request that was refused because it is quarantined."""
         self._quarantined.inc({"service": service})
 
     def count_asked(self, service: str, what: str) -> None:
-        """Count an answer that asks something of this gateway."""
-        self._asked.inc({"service": service, "what": what})
+        """Count an answer that carries pushback for this gateway."""
+        self._pushback.inc({"service": service, "what": what})
 
     def count_feed(self, transit_s: float | None) -> None:
-        """Count one question to a replica; None for one that was given up."""
+        """Count a poll of a replica and its transit time; None if it was given up."""
         if transit_s is None:
-            self._feeds.inc({"outcome": "given-up"})
+            self._polls.inc({"outcome": "given-up"})
             return
-        self._feeds.inc({"outcome": "answered"})
-        self._feed_latency.observe({}, transit_s)
+        self._polls.inc({"outcome": "answered"})
+        self._poll_latency.observe({}, transit_s)
 
     def count_denied(self, service: str, reason: str) -> None:
-        """Count a further attempt that was not made."""
-        self._denied.inc({"service": service, "reason": reason})
+        """Count a retry that was not made."""
+        self._retries_denied.inc({"service": service, "reason": reason})
 
     def render(self, state: GatewayState) -> bytes:
-        """Return all figures in the text form."""
-        figures = {
+        """Return all metrics in the Prometheus text format."""
+        gauges = {
             "revision": state.revision,
             "feed_age_seconds": state.feed_age_s,
             "known_age_seconds": state.known_age_s if isfinite(state.known_age_s) else -1.0,
@@ -152,8 +152,8 @@
             "reports_dropped": state.reports_dropped,
             "upstreams_resting": state.upstreams_resting,
         }
-        for name, value in figures.items():
-            self._gauge.set({"name": name}, value)
+        for name, value in gauges.items():
+            self._state.set({"name": name}, value)
         for name, count in state.upstreams.items():
             self._upstreams.set({"state": name}, count)
         for service, totals in state.limits.items():
--- a/src/finchway/observe/_lag.py
+++ b/src/finchway/observe/_lag.py
@@ -1,4 +1,4 @@
-"""How late this process's event loop runs its timers."""
+"""Measures the lag of the process's event loop."""
 
 from __future__ import annotations
 
@@ -6,37 +6,35 @@
 
 import trio
 
-# Seconds between two looks: ten wake-ups a second cost less than 0.1% of a core.
-LOOK_EVERY_S = 0.1
-# Seconds that a late timer is remembered, so that a line written just after it still shows it.
-REMEMBERED_S = 1.0
+SAMPLE_INTERVAL_S = 0.1
+WINDOW_S = 1.0
 
 
 class LoopLag:
-    """The largest lateness of a timer within the last second.
+    """The maximum lag of the event loop's timers within the last second.
 
-    A process that waits for the processor, or holds the loop up itself, shows it here; a full link
-    does not. So the two can be told apart when answers are late.
+    It rises if the process is short of CPU time or blocks its event loop, but not if a network link
+    is congested, which distinguishes the two causes of late answers.
     """
 
     def __init__(self) -> None:
-        self._late: deque[tuple[float, float]] = deque()
+        self._samples: deque[tuple[float, float]] = deque()
 
     @property
     def worst_s(self) -> float:
-        """The largest lateness of the last second, in seconds."""
-        return max((late for _, late in self._late), default=0.0)
+        """The maximum lag within the last second, in seconds."""
+        return max((lag for _, lag in self._samples), default=0.0)
 
-    def note(self, now: float, late: float) -> None:
-        """Take in how late a timer was."""
-        self._late.append((now, late))
-        while self._late[0][0] < now - REMEMBERED_S:
-            self._late.popleft()
+    def note(self, now: float, lag: float) -> None:
+        """Record the lag of a timer."""
+        self._samples.append((now, lag))
+        while self._samples[0][0] < now - WINDOW_S:
+            self._samples.popleft()
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Sample the lag periodically until cancelled."""
         while True:
-            due = trio.current_time() + LOOK_EVERY_S
+            due = trio.current_time() + SAMPLE_INTERVAL_S
             await trio.sleep_until(due)
             now = trio.current_time()
             self.note(now, now - due)
--- a/src/finchway/observe/_logs.py
+++ b/src/finchway/observe/_logs.py
@@ -1,4 +1,4 @@
-"""Log lines with structure: one JSON object a line, or plain text for a terminal."""
+"""Logging setup: JSON lines, or plain text for a terminal."""
 
 from __future__ import annotations
 
@@ -11,14 +11,13 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats a record as one JSON object."""
+    """Formats each record as a JSON object on one line."""
 
     def __init__(self, instance: str) -> None:
         super().__init__()
         self._instance = instance
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line for a record."""
         line = {
             "time": time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
             + f".{int(record.msecs):03d}Z",
@@ -32,23 +31,22 @@
         return msgspec.json.encode(line).decode()
 
 
-class WriterHandler(logging.Handler):
-    """Queues records at a `LogWriter`; debug and info lines are the first to be dropped."""
+class LogWriterHandler(logging.Handler):
+    """Queues records at a `LogWriter`; debug and info lines are dropped first."""
 
     def __init__(self, writer: LogWriter) -> None:
         super().__init__()
         self._writer = writer
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue one record."""
         self._writer.put(self.format(record).encode(), record.levelno >= logging.WARNING)
 
 
 def configure_logs(
     instance: str, level: str, as_json: bool, writer: LogWriter | None = None
 ) -> None:
-    """Send log lines to a writer, or to standard error where there is none."""
-    handler = WriterHandler(writer) if writer is not None else logging.StreamHandler()
+    """Configure the root logger to use `writer`, or standard error if it is None."""
+    handler = LogWriterHandler(writer) if writer is not None else logging.StreamHandler()
     if as_json:
         handler.setFormatter(JsonFormatter(instance))
     else:
@@ -57,5 +55,5 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    for noisy in ("hypercorn.error", "hypercorn.access", "httpcore", "hpack"):
-        logging.getLogger(noisy).setLevel(logging.WARNING)
+    for name in ("hypercorn.error", "hypercorn.access", "httpcore", "hpack"):
+        logging.getLogger(name).setLevel(logging.WARNING)
--- a/src/finchway/observe/_metrics.py
+++ b/src/finchway/observe/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one process, in the Prometheus text form, by aioprometheus."""
+"""Prometheus metrics of a process."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 from aioprometheus.renderer import render
 from hdrh.histogram import HdrHistogram
 
-_LOWEST_US = 1
-_HIGHEST_US = 120_000_000
-_DIGITS = 2
+_MIN_LATENCY_US = 1
+_MAX_LATENCY_US = 120_000_000
+_SIGNIFICANT_DIGITS = 2
 _QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Metrics:
-    """The counters, gauges and latency histograms of one process."""
+    """Counters, gauges and latency histograms of a process."""
 
     def __init__(self, instance: str) -> None:
         labels = {"instance": instance}
         registry = self._registry = Registry()
         self._requests = Counter("finchway_requests_total", "Requests by outcome", labels, registry)
         self._retries = Counter("finchway_retries_total", "Retries by service", labels, registry)
-        self._asked = Counter(
+        self._pushback = Counter(
             "finchway_asked_total",
             "Answers of upstreams that ask something, by what they ask; unreadable ones too",
             labels,
             registry,
         )
-        self._steers = Counter("finchway_steers_total", "Steering answers", labels, registry)
+        self._steering_answers = Counter(
+            "finchway_steers_total", "Steering answers", labels, registry
+        )
         self._connection_failures = Counter(
             "finchway_connection_failures_total",
             "Connections of callers that ended by an error of their own",
@@ -40,36 +42,34 @@
         self._latency: dict[tuple[str, str], HdrHistogram] = {}
 
     def count_request(self, service: str, priority: str, outcome: str, seconds: float) -> None:
-        """Count one request that has been answered, with its latency."""
+        """Count an answered request and its latency."""
         self._requests.inc({"service": service, "priority": priority, "outcome": outcome})
         histogram = self._latency.get((service, priority))
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+            histogram = HdrHistogram(_MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
             self._latency[service, priority] = histogram
-        histogram.record_value(max(_LOWEST_US, min(_HIGHEST_US, int(seconds * 1e6))))
+        histogram.record_value(max(_MIN_LATENCY_US, min(_MAX_LATENCY_US, int(seconds * 1e6))))
 
     def count_retry(self, service: str) -> None:
-        """Count one retry."""
         self._retries.inc({"service": service})
 
     def count_asked(self, service: str, what: str) -> None:
-        """Count an answer that asks something of this entry."""
-        self._asked.inc({"service": service, "what": what})
+        """Count an answer that carries pushback for this entry."""
+        self._pushback.inc({"service": service, "what": what})
 
     def count_connection_failure(self) -> None:
-        """Count a connection of a caller that ended by an error of its own."""
+        """Count a caller's connection that was closed by an error."""
         self._connection_failures.inc({})
 
     def count_steer(self, service: str) -> None:
-        """Count one steering answer."""
-        self._steers.inc({"service": service})
+        self._steering_answers.inc({"service": service})
 
     def set_state(self, name: str, value: float, **labels: str) -> None:
         """Set a gauge such as the applied revision or the requests in flight."""
         self._state.set({"name": name, **labels}, value)
 
     def render(self) -> bytes:
-        """Return all metrics in the text form."""
+        """Return all metrics in the Prometheus text format."""
         for (service, priority), histogram in self._latency.items():
             for quantile in _QUANTILES:
                 labels = {
--- a/src/finchway/observe/_replica_metrics.py
+++ b/src/finchway/observe/_replica_metrics.py
@@ -1,4 +1,4 @@
-"""What a control replica counts, in the Prometheus text form; all label sets are bounded."""
+"""Prometheus metrics of a control replica; all label sets are bounded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReplicaState(Struct, frozen=True, kw_only=True):
-    """What a replica holds at the moment of a scrape."""
+    """State of a replica at the time of a scrape."""
 
     is_leader: bool
     hears_leader: bool
@@ -29,7 +29,7 @@
 
 
 class ReplicaMetrics:
-    """The counters, histograms and gauges of one replica."""
+    """Counters, histograms and gauges of a replica."""
 
     def __init__(self, instance: str) -> None:
         labels = {"instance": instance}
@@ -47,28 +47,27 @@
         self._heartbeats = Counter(
             "finchway_replica_heartbeats_total", "Heartbeats of upstreams", labels, registry
         )
-        self._refused = Counter(
+        self._rejected_calls = Counter(
             "finchway_replica_refused_total", "Calls that could not be believed", labels, registry
         )
-        self._gauge = Gauge("finchway_replica_state", "State by name", labels, registry)
+        self._state = Gauge("finchway_replica_state", "State by name", labels, registry)
 
     def count_order(self, order: str, outcome: str, seconds: float) -> None:
-        """Count one order that has ended; only committed ones are timed."""
+        """Count a finished command; latency is recorded for committed ones only."""
         self._orders.inc({"order": order, "outcome": outcome})
         if outcome == "committed":
             self._commits.observe({"order": order}, seconds)
 
     def count_heartbeat(self) -> None:
-        """Count one heartbeat of an upstream."""
         self._heartbeats.inc({})
 
     def count_refused(self, call: str) -> None:
-        """Count one call that could not be read or believed."""
-        self._refused.inc({"call": call})
+        """Count a call that was malformed or failed validation."""
+        self._rejected_calls.inc({"call": call})
 
     def render(self, state: ReplicaState) -> bytes:
-        """Return all figures in the text form."""
-        figures = {
+        """Return all metrics in the Prometheus text format."""
+        gauges = {
             "is_leader": float(state.is_leader),
             "hears_leader": float(state.hears_leader),
             "covered_age_seconds": state.covered_age_s if isfinite(state.covered_age_s) else -1.0,
@@ -82,7 +81,7 @@
             "suspect_requests": state.suspects,
             "suspect_requests_dropped": state.suspects_dropped,
         }
-        for name, value in figures.items():
-            self._gauge.set({"name": name}, value)
+        for name, value in gauges.items():
+            self._state.set({"name": name}, value)
         content, _ = render(self._registry, ["text/plain"])
         return content
--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -28,7 +28,7 @@
 def write_log(subject, path):
     """Move the queued lines of a gateway into a file."""
     batch = b""
-    while part := subject.writer._take():
+    while part := subject.writer._next_batch():
         batch += part
     path.write_bytes(batch)
     assert SECRET not in batch
--- a/tests/gateway/test_router.py
+++ b/tests/gateway/test_router.py
@@ -76,7 +76,7 @@
     def lines(self, event):
         """Return the log lines of one kind that were written since the last call."""
         data = b""
-        while part := self.writer._take():
+        while part := self.writer._next_batch():
             data += part
         decoded = [msgspec.json.decode(line) for line in data.splitlines()]
         return [line for line in decoded if line["event"] == event]
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -188,7 +188,7 @@
         )
         with trio.move_on_after(LASTS_S):
             await session.run()
-        lines = [json.loads(line) for line in writer._take().splitlines()]
+        lines = [json.loads(line) for line in writer._next_batch().splitlines()]
         feeds = {(line["replica"], line["outcome"]) for line in lines if line["event"] == "feed"}
         assert feeds == {("a:1", "first"), ("b:1", "first"), ("b:1", "slow"), ("c:1", "given-up")}
         slow = next(line for line in lines if line.get("outcome") == "slow")
--- a/tests/unit/test_log_writer.py
+++ b/tests/unit/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, never waiting, the routine ones dropped first."""
+"""The log writer: bounded queues, no blocking, routine lines dropped first."""
 
 import os
 
@@ -12,22 +12,22 @@
     LogWriter,
     RequestEnded,
 )
-from finchway.observe._writer import ROUTINE_LINES, VITAL_LINES
+from finchway.observe._writer import MAX_ROUTINE_LINES, MAX_VITAL_LINES
 
 
 def test_routine_lines_are_dropped_first_and_counted():
     writer = LogWriter()
-    for _ in range(ROUTINE_LINES + 7):
+    for _ in range(MAX_ROUTINE_LINES + 7):
         writer.put(b"routine", vital=False)
-    for _ in range(VITAL_LINES):
+    for _ in range(MAX_VITAL_LINES):
         writer.put(b"vital", vital=True)
     assert writer.dropped == 7
     writer.put(b"vital", vital=True)
     assert writer.dropped == 8
-    assert writer.waiting == ROUTINE_LINES + VITAL_LINES
+    assert writer.queued == MAX_ROUTINE_LINES + MAX_VITAL_LINES
 
 
-def test_a_reader_that_stops_reading_holds_nothing_up():
+def test_a_reader_that_stops_reading_does_not_block_the_writer():
     async def check():
         reader, descriptor = os.pipe()
         writer = LogWriter(descriptor)
@@ -38,24 +38,24 @@
                 if number % 1_000 == 0:
                     await trio.sleep(0.001)
             assert writer.dropped > 0
-            assert writer.waiting <= VITAL_LINES + ROUTINE_LINES
+            assert writer.queued <= MAX_VITAL_LINES + MAX_ROUTINE_LINES
             nursery.cancel_scope.cancel()
         os.close(reader)
         writer.finish()
         os.close(descriptor)
 
-    with_limit(check)
+    run_with_timeout(check)
 
 
-def with_limit(test):
-    async def limited():
+def run_with_timeout(test):
+    async def run():
         with trio.fail_after(20):
             await test()
 
-    trio.run(limited)
+    trio.run(run)
 
 
-def test_lines_arrive_whole_and_in_order():
+def test_lines_are_complete_and_in_order():
     async def check():
         reader, descriptor = os.pipe()
         writer = LogWriter(descriptor)
@@ -69,10 +69,10 @@
         assert [line["event"] for line in lines] == ["belief", "request"]
         assert all(line["instance"] == "g1" and line["t"] > 0 for line in lines)
 
-    with_limit(check)
+    run_with_timeout(check)
 
 
-def test_only_lines_of_requests_that_went_well_are_routine():
+def test_only_lines_of_successful_requests_are_routine():
     common = {"id": "a", "reason": "", "ms": 1.0}
     assert not RequestEnded(status=200, **common).is_vital
     assert RequestEnded(status=503, **common).is_vital
