--- a/src/finchway/transport/__init__.py
+++ b/src/finchway/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between finchway's processes."""
+"""Messaging between finchway's processes, and the servers that accept connections."""
 
 from finchway.transport._app_server import AppServer
 from finchway.transport._keys import Keys, load_keys, make_keys
--- a/src/finchway/transport/_app_server.py
+++ b/src/finchway/transport/_app_server.py
@@ -1,8 +1,7 @@
-"""Serves an ASGI application on one address; hypercorn speaks HTTP/1.1, HTTP/2 and TLS.
+"""Serves an ASGI application on one address, using hypercorn for HTTP/1.1, HTTP/2 and TLS.
 
-Connections are accepted here and not by hypercorn's own server, for two reasons. What fails in one
-connection ends there: hypercorn's server lets it end the process. And a planned stop cuts off no
-request that was sent before it.
+This replaces hypercorn's own server, in which an error in one connection terminates the process
+and a graceful shutdown drops requests that clients have already sent.
 """
 
 from __future__ import annotations
@@ -22,17 +21,17 @@
 from finchway.transport._listener import NEXT_REQUEST_S, Listener
 
 _LOG = logging.getLogger(__name__)
-# Seconds that a part of an answer may take to go out, whatever becomes of its request meanwhile.
-_SEND_PATIENCE_S = 5.0
-_STOP_CHECK_S = 0.02
-_CLOSE = (b"connection", b"close")
+# Limit for sending one part of a response, which cancellation of its request does not interrupt.
+_SEND_TIMEOUT_S = 5.0
+_STOP_POLL_INTERVAL_S = 0.02
+_CONNECTION_CLOSE = (b"connection", b"close")
 
 
 class _Connection(TCPServer):
-    """A connection that ends when its caller closes it.
+    """A connection that is closed as soon as the client closes it.
 
-    hypercorn's own waits until its idle time is over, so that many short connections use up the
-    process's descriptors.
+    hypercorn's `TCPServer` keeps it until the idle timeout, so that many short connections can
+    exhaust the process's file descriptors.
     """
 
     async def _read_data(self) -> None:
@@ -41,9 +40,9 @@
 
 
 class AppServer:
-    """Listens on one address and has each request served by an application.
+    """Listens on one address and serves its requests with an ASGI application.
 
-    `on_failure` is called once for each connection that ended by an error of its own.
+    `on_failure` is called once for each connection that is closed by an error.
     """
 
     def __init__(
@@ -53,20 +52,20 @@
         self._config = config
         self._on_failure = on_failure
         self._tls: ssl.SSLContext | None = None
-        self._wrapped = ASGIWrapper(self._serve)
+        self._asgi = ASGIWrapper(self._serve)
         self._context = WorkerContext(None)
-        self._listener = Listener(address, self._begin)
+        self._listener = Listener(address, self._start_connection)
         self._nursery: trio.Nursery | None = None
-        self._leaving = False
+        self._draining = False
         self._connections = 0
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return self._connections
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Accept and serve until cancelled; raises `TransportError` if it cannot listen."""
+        """Serve until cancelled; raises `TransportError` if the address cannot be bound."""
         self._tls = self._config.create_ssl_context()
         self._listener.bind()
         async with trio.open_nursery() as nursery:
@@ -75,13 +74,13 @@
             await self._listener.run()
 
     def leave(self) -> None:
-        """Have each answer say that its connection ends; new connections are still taken."""
-        self._leaving = True
+        """Send `Connection: close` with each response; new connections are still accepted."""
+        self._draining = True
 
     async def stop(self) -> None:
-        """Take no new connection, and return when the last one has ended.
+        """Stop accepting connections, and return once all of them are closed.
 
-        Callers that have connected, or have just been answered, have a moment to send a request.
+        Open connections get `NEXT_REQUEST_S` to send a request that may be on its way.
         """
         self.leave()
         await self._listener.stop()
@@ -89,66 +88,66 @@
             await trio.sleep(NEXT_REQUEST_S)
         await self._context.terminated.set()
         while self._connections:
-            await trio.sleep(_STOP_CHECK_S)
+            await trio.sleep(_STOP_POLL_INTERVAL_S)
 
-    def _begin(self, stream: trio.SocketStream) -> None:
+    def _start_connection(self, stream: trio.SocketStream) -> None:
         self._connections += 1
         self._nursery.start_soon(self._handle, stream)
 
     async def _handle(self, stream: trio.SocketStream) -> None:
-        """Serve one connection; whatever it raises ends here, and costs nobody else anything."""
+        """Serve one connection; its errors are logged and affect no other connection."""
         try:
             await _Connection(
-                self._wrapped,
+                self._asgi,
                 self._config,
                 self._context,
                 ConnectionState({}),
-                self._secure(stream),
+                self._with_tls(stream),
             )
         except* Exception as group:
             self._on_failure()
-            causes = "; ".join(sorted({repr(error) for error in _leaves(group)}))
-            _LOG.warning("a connection ended by an error: %s", causes)
+            causes = "; ".join(sorted({repr(error) for error in _flatten(group)}))
+            _LOG.warning("connection closed by an error: %s", causes)
         finally:
             await trio.aclose_forcefully(stream)
             self._connections -= 1
 
-    def _secure(self, stream: trio.SocketStream) -> trio.SocketStream | trio.SSLStream:
+    def _with_tls(self, stream: trio.SocketStream) -> trio.SocketStream | trio.SSLStream:
         if self._tls is None:
             return stream
         return trio.SSLStream(stream, self._tls, server_side=True, https_compatible=True)
 
     async def _serve(self, scope: dict[str, Any], receive, send) -> None:
-        """Have the application serve a request, and each part of its answer go out whole.
+        """Serve a request, shielding the sending of each part of the response from cancellation.
 
-        A deadline, or a caller that leaves, cancels the application at any moment. Between two
-        parts that cuts off the answer; amid one it would leave hypercorn believing that a head has
-        not been sent which has, and it would send a second one.
+        A deadline or a disconnected client can cancel the application at any time. Between two
+        parts that truncates the response. Within one, hypercorn could miss that it has sent the
+        response head already, and send a second one.
         """
 
         async def send_part(event: dict[str, Any]) -> None:
-            with trio.CancelScope(shield=True) as sending:
-                sending.deadline = trio.current_time() + _SEND_PATIENCE_S
+            with trio.CancelScope(shield=True) as send_scope:
+                send_scope.deadline = trio.current_time() + _SEND_TIMEOUT_S
                 await send(self._with_close(scope, event))
-            if sending.cancelled_caught:
+            if send_scope.cancelled_caught:
                 raise ConnectionAbortedError("the caller does not take its answer")
 
         try:
             await self._app(scope, receive, send_part)
         except ConnectionAbortedError as error:
-            # hypercorn closes the connection of an answer that is not complete.
+            # hypercorn closes the connection of an incomplete response.
             _LOG.debug("an answer was cut off: %s", error)
 
     def _with_close(self, scope: dict[str, Any], event: dict[str, Any]) -> dict[str, Any]:
-        """Add that the connection ends to the head of an answer, where HTTP says so in a header."""
+        """Add `Connection: close` to the response head of an HTTP/1 connection while draining."""
         is_head = event["type"] == "http.response.start"
-        if not self._leaving or not is_head or scope["http_version"] not in ("1.0", "1.1"):
+        if not self._draining or not is_head or scope["http_version"] not in ("1.0", "1.1"):
             return event
-        return event | {"headers": [*event["headers"], _CLOSE]}
+        return event | {"headers": [*event["headers"], _CONNECTION_CLOSE]}
 
 
-def _leaves(group: BaseExceptionGroup) -> list[BaseException]:
-    found: list[BaseException] = []
+def _flatten(group: BaseExceptionGroup) -> list[BaseException]:
+    errors: list[BaseException] = []
     for error in group.exceptions:
-        found += _leaves(error) if isinstance(error, BaseExceptionGroup) else [error]
-    return found
+        errors += _flatten(error) if isinstance(error, BaseExceptionGroup) else [error]
+    return errors
--- a/src/finchway/transport/_http.py
+++ b/src/finchway/transport/_http.py
@@ -1,4 +1,4 @@
-"""Small helpers for ASGI applications: reading requests, sending answers and problems."""
+"""Helpers for ASGI applications: reading requests, sending responses and problem details."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Problem(Struct, frozen=True, omit_defaults=True):
-    """An error as `application/problem+json`; `outcome` says whether the request ran."""
+    """An error in the form of `application/problem+json`; `outcome` is whether the request ran."""
 
     type: str
     title: str
@@ -31,11 +31,11 @@
 
 
 class BodyTooLargeError(Exception):
-    """The request body is larger than what is allowed."""
+    """The request body exceeds the allowed size."""
 
 
 class Request:
-    """One ASGI request with its headers and query decoded."""
+    """An ASGI request with decoded headers and query."""
 
     __slots__ = ("_receive", "headers", "method", "path", "query", "scope")
 
@@ -52,7 +52,7 @@
 
     @property
     def bearer(self) -> str:
-        """The bearer credential; empty if there is none."""
+        """The bearer token of the `Authorization` header, or an empty string."""
         scheme, _, token = self.headers.get("authorization", "").partition(" ")
         return token.strip() if scheme.lower() == "bearer" else ""
 
@@ -64,7 +64,7 @@
             while True:
                 event = await self._receive()
                 if event["type"] == "http.disconnect":
-                    raise ConnectionError("the caller has gone")
+                    raise ConnectionError("client disconnected before the end of the request body")
                 size += len(event.get("body", b""))
                 if size > limit:
                     raise BodyTooLargeError
@@ -73,35 +73,39 @@
                     return b"".join(chunks)
 
 
-async def send(respond, status: int, body: bytes, kind: bytes = JSON, headers=()) -> None:
-    """Send a whole answer."""
-    fields = [(b"content-type", kind), (b"content-length", str(len(body)).encode()), *headers]
+async def send(respond, status: int, body: bytes, content_type: bytes = JSON, headers=()) -> None:
+    """Send a complete response."""
+    fields = [
+        (b"content-type", content_type),
+        (b"content-length", str(len(body)).encode()),
+        *headers,
+    ]
     await send_start(respond, status, fields)
     await respond({"type": "http.response.body", "body": body, "more_body": False})
 
 
 async def send_start(respond, status: int, headers) -> None:
-    """Send the status line and the headers."""
+    """Send the head of a response; its body follows."""
     await respond({"type": "http.response.start", "status": status, "headers": list(headers)})
 
 
 async def send_json(respond, value: Any, status: int = 200, headers=()) -> None:
-    """Send a value as JSON."""
+    """Send a value as a JSON response."""
     await send(respond, status, msgspec.json.encode(value), JSON, headers)
 
 
 async def send_problem(respond, problem: Problem, headers=()) -> None:
-    """Send a problem; one with a time to come back carries `Retry-After` as well."""
+    """Send a problem as a response, with `Retry-After` if it has a retry delay."""
     extra = list(headers)
     if problem.retry_after_s:
-        # Upwards: whoever comes back before it is time is refused again.
+        # Rounded up: a client that retries too early is refused again.
         seconds = max(1, ceil(problem.retry_after_s))
         extra.append((b"retry-after", str(seconds).encode()))
-    encoded = msgspec.json.encode(_without_empty_raw(problem))
+    encoded = msgspec.json.encode(_without_empty_fields(problem))
     await send(respond, problem.status, encoded, PROBLEM, extra)
 
 
-def _without_empty_raw(problem: Problem) -> dict[str, Any]:
+def _without_empty_fields(problem: Problem) -> dict[str, Any]:
     fields = {f: getattr(problem, f) for f in problem.__struct_fields__}
     always = ("type", "title", "status")
     return {
--- a/src/finchway/transport/_keys.py
+++ b/src/finchway/transport/_keys.py
@@ -1,7 +1,7 @@
-"""CURVE keys: with them, links between processes are encrypted and authenticated.
+"""CURVE keys that encrypt and authenticate the links between processes.
 
 All processes of a deployment share one key pair, read from a file with two lines: the public key
-and the secret key, in ZeroMQ's printable form. Only holders of the pair are let in.
+and the secret key, in ZeroMQ's Z85 encoding. Clients without the pair are rejected.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
     secret: bytes
 
     def protect_server(self, socket: zmq.Socket) -> None:
-        """Let a bound socket take only encrypted links."""
+        """Configure a bound socket to accept encrypted connections only."""
         socket.curve_server = True
         socket.curve_secretkey = self.secret
         socket.setsockopt(zmq.ZAP_DOMAIN, b"finchway")
 
     def protect_client(self, socket: zmq.Socket) -> None:
-        """Let a connecting socket use the pair."""
+        """Configure a connecting socket to use the key pair."""
         socket.curve_serverkey = self.public
         socket.curve_publickey = self.public
         socket.curve_secretkey = self.secret
 
 
 def load_keys(path: Path) -> Keys:
-    """Read a key file; raises `SettingsError` naming the file and the line at fault."""
+    """Read a key file; raises `SettingsError` with the file and the invalid line."""
     try:
         lines = path.read_text().split()
     except OSError as error:
@@ -59,7 +59,7 @@
 
 
 def make_keys(path: Path) -> Keys:
-    """Write a new key pair to a file that only its owner can read."""
+    """Write a new key pair to a file that only the owner can read."""
     public, secret = zmq.curve_keypair()
     path.touch(mode=0o600, exist_ok=False)
     path.write_text(f"{public.decode()}\n{secret.decode()}\n")
@@ -67,7 +67,7 @@
 
 
 def start_authenticator(context: zmq.Context, keys: Keys, nursery: trio.Nursery) -> None:
-    """Answer ZeroMQ's authentication requests: only clients with the shared key are let in."""
+    """Start the ZAP handler, which admits only clients with the shared public key."""
     socket = context.socket(zmq.REP)
     socket.linger = 0
     socket.bind(_ZAP_ENDPOINT)
--- a/src/finchway/transport/_listener.py
+++ b/src/finchway/transport/_listener.py
@@ -1,7 +1,7 @@
-"""Accepts connections on one address until a planned stop, and loses none that came before it.
+"""Accepts TCP connections until a graceful shutdown, without losing any established before it.
 
-The kernel completes connections by itself: callers may have sent requests on those that nobody has
-accepted yet, and closing the listener would reset them.
+The kernel completes handshakes on its own: clients may have sent requests on connections that are
+still in the accept queue, and closing the listening socket would reset those.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 
 _LOG = logging.getLogger(__name__)
 BACKLOG = 512
-# Milliseconds after which a connection ends whose other side takes nothing more.
-USER_TIMEOUT_MS = 5_000
-# Seconds after a connection came, or was answered on, in which its caller's next request may be
-# under way already.
+# The kernel closes a connection whose peer acknowledges no data for this long.
+TCP_USER_TIMEOUT_MS = 5_000
+# Grace period after a connection is opened or a response sent on it, within which the client's next
+# request may still be on its way.
 NEXT_REQUEST_S = 0.5
-_RETRY_S = 0.05
+_ACCEPT_RETRY_S = 0.05
 
 
 class Listener:
-    """Listens on an address and hands each connection to `begin`, which must not wait."""
+    """Listens on an address and passes each connection to `on_connection`, which must not block."""
 
-    def __init__(self, address: str, begin: Callable[[trio.SocketStream], None]) -> None:
+    def __init__(self, address: str, on_connection: Callable[[trio.SocketStream], None]) -> None:
         self._address = address
-        self._begin = begin
+        self._on_connection = on_connection
         self._socket: socket.socket | None = None
-        self._accepting = trio.CancelScope()
+        self._accept_scope = trio.CancelScope()
         self._closed = trio.Event()
 
     @property
     def is_stopping(self) -> bool:
-        """Whether no further connections are taken."""
-        return self._accepting.cancel_called
+        """Whether `stop` has been called."""
+        return self._accept_scope.cancel_called
 
     def bind(self) -> None:
-        """Begin to listen; raises `TransportError` if the address cannot be used."""
+        """Start listening; raises `TransportError` if the address cannot be bound."""
         host, _, port = self._address.rpartition(":")
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.socket(family)
@@ -57,15 +57,15 @@
     async def run(self) -> None:
         """Accept until `stop` is called, or until cancelled."""
         with self._socket:
-            with self._accepting:
+            with self._accept_scope:
                 await self._accept()
-            # The last look: more may have come since `stop` was called.
+            # More connections may have been established since `stop` was called.
             self._accept_queued()
         self._closed.set()
 
     async def stop(self) -> None:
-        """Take what has come already and nothing after it."""
-        self._accepting.cancel()
+        """Accept the connections in the queue, then close the listening socket."""
+        self._accept_scope.cancel()
         if self._socket is not None:
             await self._closed.wait()
 
@@ -73,17 +73,19 @@
         while True:
             await trio.lowlevel.wait_readable(self._socket)
             if not self._accept_queued():
-                await trio.sleep(_RETRY_S)
+                await trio.sleep(_ACCEPT_RETRY_S)
 
     def _accept_queued(self) -> bool:
-        """Accept the connections that the kernel has completed; False if that failed."""
+        """Accept all connections in the kernel's queue; return False if that failed."""
         while True:
             try:
                 accepted, _ = self._socket.accept()
-                accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+                accepted.setsockopt(
+                    socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
+                )
             except BlockingIOError:
                 return True
             except OSError as error:
                 _LOG.warning("accept on %s failed: %s", self._address, error)
                 return False
-            self._begin(trio.SocketStream(trio.socket.from_stdlib_socket(accepted)))
+            self._on_connection(trio.SocketStream(trio.socket.from_stdlib_socket(accepted)))
--- a/src/finchway/transport/_messages.py
+++ b/src/finchway/transport/_messages.py
@@ -1,7 +1,7 @@
-"""The typed messages between finchway's processes, apart from those of the replicated log.
+"""The typed messages between finchway's processes, except those of the replicated log.
 
-Every request has exactly one answer; a `Failure` stands for an error, and is raised again at the
-asker as the exception that it came from.
+Every request has exactly one reply. An error is sent as a `Failure`, from which the requesting
+process restores the original exception.
 """
 
 from __future__ import annotations
@@ -44,29 +44,29 @@
 
 
 class Body(Struct, frozen=True, tag=True, kw_only=True):
-    """The base of all message bodies."""
+    """Base class of message bodies."""
 
 
 class HeartbeatBatch(Body):
-    """Heartbeats that a relay has gathered from fellow entries."""
+    """Heartbeats that a relay has collected from peer entries."""
 
     heartbeats: list[Heartbeat]
 
 
 class HeartbeatBatchReply(Body):
-    """Answers to a batch, in its order, without changes: the relay serves those itself."""
+    """Replies to a batch, in its order; without changes, which the relay provides itself."""
 
     replies: list[HeartbeatReply]
 
 
 class FetchChanges(Body):
-    """Ask any replica or fellow entry for the changes after a revision."""
+    """Request the changes after a revision from a replica or peer entry."""
 
     since: int
 
 
 class Changes(Body):
-    """The changes after a revision; a snapshot where they are no longer held."""
+    """The changes after a revision, or a snapshot if they are no longer available."""
 
     revision: int
     changes: list[Change] = []
@@ -74,28 +74,28 @@
 
 
 class Submit(Body):
-    """Have a command committed and applied."""
+    """Request that a command be committed and applied."""
 
     command: AnyCommand
 
 
 class Submitted(Body):
-    """What applying the command answered."""
+    """The result of applying a command."""
 
     result: AnyResult
 
 
 class Confirm(Body):
-    """Ask the leader for the newest committed revision, confirmed by a quorum.
+    """Request the latest committed revision from the leader, confirmed by a quorum.
 
-    A confirmation that the leader has already and that is at most `within` seconds old will do.
+    The leader may reuse an earlier confirmation that is at most `within` seconds old.
     """
 
     within: float = 0.0
 
 
 class Confirmed(Body):
-    """A revision and an index that cover any change accepted `age` seconds before this answer."""
+    """A revision and log index covering all changes accepted `age` seconds before this reply."""
 
     revision: int
     index: int
@@ -103,30 +103,30 @@
 
 
 class Join(Body):
-    """A replica without data asks to be taken in; first without an incarnation, for the cluster."""
+    """A replica without data requests to join; the first time without an incarnation."""
 
     member: Member
 
 
 class JoinReply(Body):
-    """The cluster that a joining replica is to belong to."""
+    """The id of the cluster that a joining replica becomes part of."""
 
     cluster: str
 
 
 class ChangeReplicas(Body):
-    """Expect one more replica, or remove one, by name."""
+    """Admit a further replica, or remove one, by name."""
 
     add: str = ""
     remove: str = ""
 
 
 class ReplicaStatus(Body):
-    """Ask a replica how it stands."""
+    """Request the state of a replica."""
 
 
 class Replica(Body):
-    """How one replica stands."""
+    """State of a replica."""
 
     id: str
     role: str
@@ -141,14 +141,14 @@
 
 
 class FetchEvents(Body):
-    """Ask a process for its events after a sequence number."""
+    """Request a process's events after a sequence number."""
 
     since: int
     limit: int = 500
 
 
 class Events(Body):
-    """Events of one process; `next` is what to ask for the following ones."""
+    """Events of a process; `next` is the `since` of the next request."""
 
     instance: str
     events: list[Event]
@@ -156,11 +156,11 @@
 
 
 class EntryQuery(Body):
-    """Ask the leader which entries have which revision in force."""
+    """Request the revisions in force at all entries from the leader."""
 
 
 class EntryInfo(Struct, frozen=True):
-    """What the leader knows of one entry."""
+    """The leader's view of an entry."""
 
     instance: str
     state: str
@@ -170,25 +170,25 @@
 
 
 class Entries(Body):
-    """All entries, with the revision that the leader has confirmed."""
+    """All entries, and the revision that the leader has confirmed."""
 
     revision: int
     entries: list[EntryInfo]
 
 
 class RaftBody(Body):
-    """A message of the replicated log, and where its sender is reached."""
+    """A Raft message with the address of its sender."""
 
     message: AnyMessage
     address: str
 
 
 class Ok(Body):
-    """The request was carried out and there is nothing more to say."""
+    """The request was carried out; the reply has no content."""
 
 
 class Failure(Body):
-    """The request failed; `code` names the exception, `leader` where to go instead."""
+    """The request failed; `code` is the exception's class name, `leader` the current leader."""
 
     code: str
     message: str
@@ -226,9 +226,9 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """A message on the wire; answers carry the correlation number of their request.
+    """A message on the wire; a reply has the correlation number of its request.
 
-    `clock` is the sender's logical clock, which orders the time line over all processes.
+    `clock` is the sender's logical clock, which orders events across processes.
     """
 
     sender: str
--- a/tests/transport/test_app_server.py
+++ b/tests/transport/test_app_server.py
@@ -1,7 +1,6 @@
-"""What one connection raises ends that connection; a stop answers what was sent before it.
+"""The app server: errors stay within their connection, and a graceful stop drops no request.
 
-The states of an answer are played at random: applications that are cancelled, that raise or go on
-after any part of an answer, callers that send, wait or leave.
+Randomised applications are cancelled or raise at any point of a response; clients disconnect early.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 from finchway.transport import AppServer
 
 REQUEST = b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
-MOMENTS = 12
+STOP_DELAYS = 12
 PART = b"x" * 100
 
 
 class Server:
-    """A server in this process; `app` serves its requests."""
+    """An app server in this process, which counts failed connections."""
 
     def __init__(self, app) -> None:
         self.address = f"127.0.0.1:{free_ports(1)[0]}"
@@ -30,20 +29,20 @@
         config = Config()
         config.include_server_header = False
         config.errorlog = None
-        self.http = AppServer(self.address, app, config, self._count)
+        self.http = AppServer(self.address, app, config, self._count_failure)
 
-    def _count(self) -> None:
+    def _count_failure(self) -> None:
         self.failures += 1
 
     def connect(self) -> socket.socket:
-        """Connect as a caller does; the kernel completes it whatever the server does meanwhile."""
+        """Return a client connection; the kernel completes it independent of the server."""
         host, _, port = self.address.rpartition(":")
-        caller = socket.create_connection((host, int(port)))
-        caller.setblocking(False)
-        return caller
+        client = socket.create_connection((host, int(port)))
+        client.setblocking(False)
+        return client
 
 
-def play(app, action) -> None:
+def run_with_server(app, action) -> None:
     async def run() -> None:
         server = Server(app)
         async with trio.open_nursery() as nursery:
@@ -54,141 +53,136 @@
     trio.run(run)
 
 
-async def read_answer(caller: socket.socket, enough: bytes = b"never") -> bytes:
-    """Return what comes until the connection ends, or until `enough` is in it."""
+async def read_response(client: socket.socket, until: bytes = b"never") -> bytes:
+    """Return the data received until the connection ends or the data contains `until`."""
     data = b""
-    stream = trio.SocketStream(trio.socket.from_stdlib_socket(caller))
+    stream = trio.SocketStream(trio.socket.from_stdlib_socket(client))
     with trio.fail_after(5.0):
         try:
-            while enough not in data and (part := await stream.receive_some()):
+            while until not in data and (part := await stream.receive_some()):
                 data += part
         except trio.BrokenResourceError:
             pass
     return data
 
 
-async def serve_well(scope, receive, send) -> None:
+async def respond_ok(scope, receive, send) -> None:
     await trio.sleep(0.01)
     headers = [(b"content-length", b"2")]
     await send({"type": "http.response.start", "status": 200, "headers": headers})
     await send({"type": "http.response.body", "body": b"ok", "more_body": False})
 
 
-def is_whole(answer: bytes) -> bool:
-    return answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"ok")
+def is_complete(response: bytes) -> bool:
+    return response.startswith(b"HTTP/1.1 200") and response.endswith(b"ok")
 
 
-@pytest.mark.parametrize("moment", range(MOMENTS))
-@pytest.mark.parametrize("callers", [1, 5])
-def test_a_request_on_a_new_connection_is_answered_in_whatever_moment_the_stop_comes(
-    callers, moment
+@pytest.mark.parametrize("stop_delay", range(STOP_DELAYS))
+@pytest.mark.parametrize("client_count", [1, 5])
+def test_a_request_on_a_new_connection_is_answered_whenever_the_stop_comes(
+    client_count, stop_delay
 ):
-    """The callers connect and send, and the stop comes so many steps of the server later."""
+    """The server stops `stop_delay` scheduler steps after the clients have sent their requests."""
 
     async def action(server: Server) -> None:
-        sockets = [server.connect() for _ in range(callers)]
-        for caller in sockets:
-            caller.send(REQUEST)
-        for _ in range(moment):
+        clients = [server.connect() for _ in range(client_count)]
+        for client in clients:
+            client.send(REQUEST)
+        for _ in range(stop_delay):
             await trio.lowlevel.checkpoint()
         with trio.fail_after(3.0):
             await server.http.stop()
-        for caller in sockets:
-            assert is_whole(await read_answer(caller, b"ok"))
+        for client in clients:
+            assert is_complete(await read_response(client, b"ok"))
 
-    play(serve_well, action)
+    run_with_server(respond_ok, action)
 
 
-def test_an_answer_says_that_its_connection_ends_once_the_server_leaves():
+def test_responses_have_connection_close_while_the_server_drains():
     async def action(server: Server) -> None:
         server.http.leave()
-        caller = server.connect()
-        caller.send(REQUEST)
-        answer = await read_answer(caller)
-        assert is_whole(answer) and b"connection: close" in answer.lower()
+        client = server.connect()
+        client.send(REQUEST)
+        response = await read_response(client)
+        assert is_complete(response) and b"connection: close" in response.lower()
 
-    play(serve_well, action)
+    run_with_server(respond_ok, action)
 
 
-class Capricious:
-    """An application that does at random what one may do, in whatever state its answer is."""
+class RandomApp:
+    """An application that randomly times out, raises, or responds a second time."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     async def __call__(self, scope, receive, send) -> None:
-        if scope["path"] == "/patient":
-            await serve_well(scope, receive, send)
+        if scope["path"] == "/ok":
+            await respond_ok(scope, receive, send)
             return
         with trio.move_on_after(self._rng.random() * 0.004) as deadline:
-            await self._answer(send, deadline)
+            await self._respond(send, deadline)
         match self._rng.randrange(4):
             case 0:
                 raise ConnectionAbortedError("cut off")
             case 1:
                 raise ValueError("an error of the application")
             case 2:
-                await self._answer(send, trio.CancelScope())
+                await self._respond(send, trio.CancelScope())
 
-    async def _answer(self, send, deadline: trio.CancelScope) -> None:
-        """Answer in parts; the deadline may pass while the application waits, or as it runs.
-
-        What runs notices it at its next checkpoint, which is within the sending of a part.
-        """
+    async def _respond(self, send, deadline: trio.CancelScope) -> None:
+        """Respond in parts; the deadline may expire in a sleep or at a checkpoint within `send`."""
         count = self._rng.randrange(4)
         headers = [(b"content-length", str(count * len(PART)).encode())]
         if self._rng.random() < 0.5:
             headers = []
-        await self._pass_time(0.003, deadline)
+        await self._wait(0.003, deadline)
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         for _ in range(count):
-            await self._pass_time(0.002, deadline)
+            await self._wait(0.002, deadline)
             await send({"type": "http.response.body", "body": PART, "more_body": True})
         await send({"type": "http.response.body", "body": b"", "more_body": False})
 
-    async def _pass_time(self, most_s: float, deadline: trio.CancelScope) -> None:
+    async def _wait(self, max_s: float, deadline: trio.CancelScope) -> None:
         if self._rng.random() < 0.1:
             deadline.cancel()
         else:
-            await trio.sleep(self._rng.random() * most_s)
+            await trio.sleep(self._rng.random() * max_s)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_no_request_ends_the_server_or_is_answered_by_two_heads(seed):
-    """Hasty callers, some of whom leave, beside a patient one who is served each time."""
+def test_no_request_stops_the_server_or_gets_two_response_heads(seed):
+    """Clients that disconnect early must not affect one that reads each response to its end."""
     rng = random.Random(seed)
-    heads: list[int] = []
+    head_counts: list[int] = []
 
-    async def hurry(server: Server) -> None:
+    async def run_client(server: Server) -> None:
         for _ in range(40):
-            caller = server.connect()
-            caller.send(REQUEST)
+            client = server.connect()
+            client.send(REQUEST)
             with trio.move_on_after(rng.choice([0.001, 0.003, 0.2])):
-                answer = await read_answer(caller)
-                heads.append(answer.count(b"HTTP/1.1 "))
-            caller.close()
+                response = await read_response(client)
+                head_counts.append(response.count(b"HTTP/1.1 "))
+            client.close()
 
     async def action(server: Server) -> None:
         async with trio.open_nursery() as nursery:
             for _ in range(5):
-                nursery.start_soon(hurry, server)
+                nursery.start_soon(run_client, server)
             for _ in range(20):
-                caller = server.connect()
-                caller.send(REQUEST.replace(b"/x", b"/patient"))
-                assert is_whole(await read_answer(caller, b"ok"))
-                caller.close()
-
-    play(Capricious(rng), action)
-    assert len(heads) > 20
-    assert max(heads) == 1
+                client = server.connect()
+                client.send(REQUEST.replace(b"/x", b"/ok"))
+                assert is_complete(await read_response(client, b"ok"))
+                client.close()
 
+    run_with_server(RandomApp(rng), action)
+    assert len(head_counts) > 20
+    assert max(head_counts) == 1
 
-def test_what_a_connection_raises_is_counted_and_harms_no_other():
-    """Bytes that are none, a head twice, a body before the head."""
 
-    async def answer_twice(scope, receive, send) -> None:
-        if scope["path"] == "/patient":
-            await serve_well(scope, receive, send)
+def test_malformed_input_and_an_invalid_response_head_affect_no_other_connection():
+    async def send_invalid_head(scope, receive, send) -> None:
+        if scope["path"] == "/ok":
+            await respond_ok(scope, receive, send)
             return
         await send({"type": "http.response.start", "status": 200, "headers": [(b"a\r\nb", b"c")]})
 
@@ -198,49 +192,48 @@
             REQUEST,
             b"PRI * HTTP/2.0\r\n\r\nxx\r\n\r\n" + b"\xff" * 50,
         ):
-            caller = server.connect()
-            caller.send(data)
-            await read_answer(caller, b"500")
-            caller.close()
-        caller = server.connect()
-        caller.send(REQUEST.replace(b"/x", b"/patient"))
-        assert is_whole(await read_answer(caller, b"ok"))
+            client = server.connect()
+            client.send(data)
+            await read_response(client, b"500")
+            client.close()
+        client = server.connect()
+        client.send(REQUEST.replace(b"/x", b"/ok"))
+        assert is_complete(await read_response(client, b"ok"))
 
-    play(answer_twice, action)
+    run_with_server(send_invalid_head, action)
 
 
-def test_an_error_of_a_connection_is_counted(monkeypatch):
-    """An error that hypercorn raises out of its connection ends just that connection."""
+def test_an_error_of_a_connection_is_counted_and_affects_no_other(monkeypatch):
 
     async def fail(self) -> None:
-        raise RuntimeError("amid a connection")
+        raise RuntimeError("connection error")
 
     async def action(server: Server) -> None:
         with monkeypatch.context() as patched:
             patched.setattr("hypercorn.trio.tcp_server.TCPServer.run", fail)
             broken = server.connect()
             broken.send(REQUEST)
-            assert await read_answer(broken) == b""
-        caller = server.connect()
-        caller.send(REQUEST)
-        assert is_whole(await read_answer(caller, b"ok"))
+            assert await read_response(broken) == b""
+        client = server.connect()
+        client.send(REQUEST)
+        assert is_complete(await read_response(client, b"ok"))
         assert server.failures == 1
 
-    play(serve_well, action)
+    run_with_server(respond_ok, action)
 
 
-def test_a_connection_ends_when_its_caller_closes_it():
-    """One that was kept holds its socket otherwise until its idle time is over."""
+def test_a_connection_is_closed_when_its_client_closes_it():
+    """Guards against keep-alive connections that occupy a socket until the idle timeout."""
 
     async def action(server: Server) -> None:
-        callers = [server.connect() for _ in range(20)]
-        for caller in callers:
-            caller.send(REQUEST)
-        for caller in callers:
-            assert is_whole(await read_answer(caller, b"ok"))
-            caller.close()
+        clients = [server.connect() for _ in range(20)]
+        for client in clients:
+            client.send(REQUEST)
+        for client in clients:
+            assert is_complete(await read_response(client, b"ok"))
+            client.close()
         with trio.fail_after(1.0):
             while server.http.connections:
                 await trio.sleep(0.01)
 
-    play(serve_well, action)
+    run_with_server(respond_ok, action)
--- a/tests/unit/test_link.py
+++ b/tests/unit/test_link.py
@@ -1,4 +1,4 @@
-"""Links between processes, with real sockets on loopback."""
+"""Links between processes, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 def run_pair(check, unused_s: float = 120.0) -> None:
-    """Run a check with two links; the second answers."""
+    """Run a check with two links; the second one replies."""
 
     async def main() -> None:
         one, two = (f"127.0.0.1:{port}" for port in free_ports(2))
         clocks = LogicalClock(), LogicalClock()
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
-                link = Link("one", one, handler, clocks[0], unused_s=unused_s)
+                link = Link("one", one, handler, clocks[0], idle_timeout_s=unused_s)
                 other = Link("two", two, handler, clocks[1])
                 await nursery.start(link.run)
                 await nursery.start(other.run)
@@ -54,7 +54,7 @@
     trio.run(main)
 
 
-def test_requests_get_their_own_answers_and_errors():
+def test_requests_get_their_own_replies_and_errors():
     async def check(link, address, clocks):
         assert await link.request(address, Confirm(), 5.0) == Confirmed(revision=7, index=9)
         with pytest.raises(NotLeaderError) as caught:
@@ -67,23 +67,23 @@
     run_pair(check)
 
 
-def test_many_requests_at_once_are_not_mixed_up():
+def test_concurrent_requests_get_matching_replies():
     async def check(link, address, clocks):
-        seen = []
+        replies = []
 
-        async def ask(kind) -> None:
-            seen.append((kind, type(await link.request(address, kind(), 10.0))))
+        async def request(kind) -> None:
+            replies.append((kind, type(await link.request(address, kind(), 10.0))))
 
         async with trio.open_nursery() as nursery:
             for number in range(200):
-                nursery.start_soon(ask, Confirm if number % 2 else EntryQuery)
-        assert len(seen) == 200
-        assert set(seen) == {(Confirm, Confirmed), (EntryQuery, Ok)}
+                nursery.start_soon(request, Confirm if number % 2 else EntryQuery)
+        assert len(replies) == 200
+        assert set(replies) == {(Confirm, Confirmed), (EntryQuery, Ok)}
 
     run_pair(check)
 
 
-def test_no_answer_is_an_error_in_time():
+def test_a_missing_reply_raises_an_error_at_the_timeout():
     async def check(link, address, clocks):
         with pytest.raises(TransportError, match="no answer"):
             await link.request(address, Join(member=Member("a", "1")), 0.1)
@@ -94,7 +94,7 @@
     run_pair(check)
 
 
-def test_connections_that_nothing_uses_are_closed_and_opened_again():
+def test_idle_connections_are_closed_and_reopened_on_demand():
     async def check(link, address, clocks):
         await link.request(address, Confirm(), 5.0)
         while link.peers:
@@ -107,20 +107,20 @@
 def test_malformed_messages_are_dropped():
     async def check(link, address, clocks):
         context = zmq.Context()
-        stranger = context.socket(zmq.DEALER)
-        stranger.linger = 0
-        stranger.connect(f"tcp://{address}")
+        client = context.socket(zmq.DEALER)
+        client.linger = 0
+        client.connect(f"tcp://{address}")
         for data in (b"", b"\x00" * 50, b"not msgpack", b"\x95\x01"):
-            stranger.send(data)
+            client.send(data)
         assert await link.request(address, Confirm(), 5.0)
-        stranger.close()
+        client.close()
         context.term()
 
     run_pair(check)
 
 
-# The least that users leave for connections that broke, in seconds.
-RENEWED_WITHIN_S = 3.0
+# Limit for replacing an unresponsive connection.
+RECONNECT_TIMEOUT_S = 3.0
 
 
 @pytest.mark.parametrize(
@@ -129,31 +129,28 @@
     ids=["both", "requests", "answers"],
 )
 def test_a_connection_that_goes_silent_without_a_reset_is_replaced(silent):
-    """Both ends greet each other every half second, so either direction is missed.
-
-    Here it takes 1.81 s for each of the three ways (18 runs); after that a new connection is used.
-    """
+    """Heartbeats in both directions detect a partition in either one."""
 
     async def main() -> float:
-        one, two, between = (f"127.0.0.1:{port}" for port in free_ports(3))
-        proxy = Proxy(between, two)
+        one, two, proxy_address = (f"127.0.0.1:{port}" for port in free_ports(3))
+        proxy = Proxy(proxy_address, two)
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
                 link = Link("one", one, handler, LogicalClock())
                 for part in (link, Link("two", two, handler, LogicalClock()), proxy):
                     await nursery.start(part.run)
-                await link.request(between, Confirm(), 5.0)
+                await link.request(proxy_address, Confirm(), 5.0)
                 await trio.sleep(0.3)
                 proxy.go_silent(silent)
-                taken = await until_answered(link, between)
+                elapsed = await time_to_reply(link, proxy_address)
                 nursery.cancel_scope.cancel()
-        return taken
+        return elapsed
 
-    assert trio.run(main) <= RENEWED_WITHIN_S
+    assert trio.run(main) <= RECONNECT_TIMEOUT_S
 
 
-async def until_answered(link: Link, address: str) -> float:
-    """Return how many seconds it takes until a request is answered."""
+async def time_to_reply(link: Link, address: str) -> float:
+    """Return the seconds until a request gets a reply."""
     started = trio.current_time()
     while True:
         try:
