--- a/src/finchway/catalog/__init__.py
+++ b/src/finchway/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""The traffic catalog: routes, their services and the callers' limits, each item with a version.
+"""The traffic catalog: versioned routes, services and limits for callers.
 
 catalog = Catalog()
 findings = catalog.check(ChangeItems(now_ms=0, items=[...]))
--- a/src/finchway/catalog/_catalog.py
+++ b/src/finchway/catalog/_catalog.py
@@ -1,4 +1,4 @@
-"""The catalog as it stands: the highest version of each item, and the route of a request."""
+"""The catalog in force: the highest version of each item, and route matching."""
 
 from __future__ import annotations
 
@@ -14,58 +14,58 @@
 
 
 class HeldItem(Struct, frozen=True, array_like=True):
-    """An item and the revision of the steering state that brought it."""
+    """An item and the revision of the steering state that introduced it."""
 
     revision: int
     item: Item
 
 
 class Catalog:
-    """Items by key; the highest version of each wins, equal and older ones change nothing."""
+    """Items by key; the highest version of each wins, equal and older ones are ignored."""
 
     def __init__(self, held: Iterable[HeldItem] = ()) -> None:
-        self._held: dict[str, HeldItem] = {h.item.key: h for h in held}
-        self._by_host: dict[str, list[tuple[str, Item]]] | None = None
+        self._entries: dict[str, HeldItem] = {entry.item.key: entry for entry in held}
+        self._routes_by_host: dict[str, list[tuple[str, Item]]] | None = None
 
     @property
     def held(self) -> list[HeldItem]:
-        """All items, the dropped ones too, in the order of their keys."""
-        return [self._held[key] for key in sorted(self._held)]
+        """All items, including deleted ones, sorted by key."""
+        return [self._entries[key] for key in sorted(self._entries)]
 
     @property
     def is_empty(self) -> bool:
-        """Whether no item has ever been set."""
-        return not self._held
+        """Whether the catalog has never held an item."""
+        return not self._entries
 
     @property
     def limits(self) -> Limits:
-        """The callers' limits in force."""
-        for held in self._held.values():
-            if isinstance(held.item.spec, Limits):
-                return held.item.spec
+        """The limits for callers in force."""
+        for entry in self._entries.values():
+            if isinstance(entry.item.spec, Limits):
+                return entry.item.spec
         return _DEFAULT_LIMITS
 
     def standing(self) -> list[Item]:
-        """Return the items that are not dropped, in the order of their keys."""
-        return [held.item for held in self.held if held.item.spec is not None]
+        """Return the items that are not deleted, sorted by key."""
+        return [entry.item for entry in self.held if entry.item.spec is not None]
 
     def service(self, name: str) -> ServiceSpec | None:
-        """Return the description of a service, if it stands."""
-        held = self._held.get(f"{ItemKind.SERVICE.value}/{name}")
-        spec = held.item.spec if held else None
+        """Return the spec of a service, or None if it is unknown or deleted."""
+        entry = self._entries.get(f"{ItemKind.SERVICE.value}/{name}")
+        spec = entry.item.spec if entry else None
         return spec if isinstance(spec, ServiceSpec) else None
 
     def get(self, key: str) -> Item | None:
-        """Return the item held under a key, dropped or not."""
-        held = self._held.get(key)
-        return held.item if held else None
+        """Return the item with a key, deleted or not."""
+        entry = self._entries.get(key)
+        return entry.item if entry else None
 
     def check(self, items: list[Item]) -> list[Finding]:
-        """Return what is wrong with a change as a whole, against the catalog as it stands."""
+        """Validate a change as a whole against the current catalog."""
         services = {
-            held.item.name
-            for held in self._held.values()
-            if held.item.kind is ItemKind.SERVICE and held.item.spec is not None
+            entry.item.name
+            for entry in self._entries.values()
+            if entry.item.kind is ItemKind.SERVICE and entry.item.spec is not None
         }
         for item in items:
             if item.kind is ItemKind.SERVICE and item.spec is not None:
@@ -73,52 +73,52 @@
         return check_items(items, services)
 
     def conflicts(self, items: list[Item]) -> list[Item]:
-        """Return the held items that carry the version of a given one with other content."""
+        """Return the existing items that have the same version as a given one but another spec."""
         return [
-            held.item
+            entry.item
             for item in items
-            if (held := self._held.get(item.key)) is not None
-            and held.item.version == item.version
-            and held.item.spec != item.spec
+            if (entry := self._entries.get(item.key)) is not None
+            and entry.item.version == item.version
+            and entry.item.spec != item.spec
         ]
 
     def newer(self, items: list[Item]) -> list[Item]:
-        """Return the items whose version is above the one held; the highest of each key."""
-        best: dict[str, Item] = {}
+        """Return the items newer than the existing ones; of each key only the highest version."""
+        highest: dict[str, Item] = {}
         for item in items:
-            held = self._held.get(item.key)
-            version = held.item.version if held else -1
-            if item.key in best:
-                version = max(version, best[item.key].version)
+            entry = self._entries.get(item.key)
+            version = entry.item.version if entry else -1
+            if item.key in highest:
+                version = max(version, highest[item.key].version)
             if item.version > version:
-                best[item.key] = item
-        return list(best.values())
+                highest[item.key] = item
+        return list(highest.values())
 
-    def put(self, held: HeldItem) -> bool:
-        """Hold an item unless a version at least as high is held; tell whether it was taken."""
-        old = self._held.get(held.item.key)
-        if old is not None and old.item.version >= held.item.version:
+    def put(self, entry: HeldItem) -> bool:
+        """Store an item unless its version is not newer; return whether it was stored."""
+        existing = self._entries.get(entry.item.key)
+        if existing is not None and existing.item.version >= entry.item.version:
             return False
-        self._held[held.item.key] = held
-        self._by_host = None
+        self._entries[entry.item.key] = entry
+        self._routes_by_host = None
         return True
 
     def match(self, host: str, path: str) -> tuple[str, Route] | None:
         """Return the name and spec of the route with the longest prefix of `path`."""
-        if self._by_host is None:
-            self._by_host = self._index()
-        for prefix, item in self._by_host.get(host.lower(), ()):
+        if self._routes_by_host is None:
+            self._routes_by_host = self._index_routes()
+        for prefix, item in self._routes_by_host.get(host.lower(), ()):
             if path.startswith(prefix):
                 return item.name, item.spec
         return None
 
     def routes_of_host(self, host: str) -> list[Route]:
-        """Return the routes of a host, the longest prefix first."""
-        if self._by_host is None:
-            self._by_host = self._index()
-        return [item.spec for _, item in self._by_host.get(host.lower(), ())]
+        """Return the routes of a host, longest prefix first."""
+        if self._routes_by_host is None:
+            self._routes_by_host = self._index_routes()
+        return [item.spec for _, item in self._routes_by_host.get(host.lower(), ())]
 
-    def _index(self) -> dict[str, list[tuple[str, Item]]]:
+    def _index_routes(self) -> dict[str, list[tuple[str, Item]]]:
         index: dict[str, list[tuple[str, Item]]] = {}
         for item in self.standing():
             if isinstance(item.spec, Route):
--- a/src/finchway/catalog/_check.py
+++ b/src/finchway/catalog/_check.py
@@ -1,4 +1,4 @@
-"""The checks that a change of the catalog has to pass as a whole."""
+"""Validation of a change of the catalog as a whole."""
 
 from __future__ import annotations
 
@@ -6,19 +6,18 @@
 from finchway.exceptions import Finding
 
 MAX_TIMEOUT_S = 600.0
-# Characters of a name, and the largest number that every reader of JSON holds exactly.
-LONGEST_NAME = 256
-LARGEST_COUNT = 2**53 - 1
-# Upstreams to which a request may be sent: beyond this a retry has long ceased to help.
-MOST_ATTEMPTS = 100
+MAX_NAME_LENGTH = 256
+# The largest integer that every JSON parser represents exactly.
+MAX_COUNT = 2**53 - 1
+MAX_ATTEMPTS = 100
 MAX_TARGET_OVER_TIMEOUT_S = 60.0
 
 
 def check_items(items: list[Item], services: set[str]) -> list[Finding]:
-    """Return everything that is wrong with items, given the services that would stand."""
+    """Return all problems of items, given the names of the services that would then exist."""
     findings = []
     for position, item in enumerate(items):
-        place = f"items[{position}] {item.key[:LONGEST_NAME]}"
+        place = f"items[{position}] {item.key[:MAX_NAME_LENGTH]}"
         findings += _check_item(place, item)
         match item.spec:
             case Route():
@@ -31,12 +30,12 @@
 
 
 def _check_item(place: str, item: Item) -> list[Finding]:
-    """Check what is common to all kinds, so that every item that is taken can be passed on."""
+    """Check the fields that all kinds have in common."""
     findings = []
-    if not 0 < len(item.name) <= LONGEST_NAME:
-        findings.append(Finding(f"{place}.name", f"must have 1 to {LONGEST_NAME} characters"))
-    if not 0 <= item.version <= LARGEST_COUNT:
-        findings.append(Finding(f"{place}.version", f"must be 0 to {LARGEST_COUNT}"))
+    if not 0 < len(item.name) <= MAX_NAME_LENGTH:
+        findings.append(Finding(f"{place}.name", f"must have 1 to {MAX_NAME_LENGTH} characters"))
+    if not 0 <= item.version <= MAX_COUNT:
+        findings.append(Finding(f"{place}.version", f"must be 0 to {MAX_COUNT}"))
     return findings
 
 
@@ -47,15 +46,15 @@
     if not 0 < route.timeout <= MAX_TIMEOUT_S:
         findings.append(Finding(f"{place}.timeout", f"must be above 0 s, at most {MAX_TIMEOUT_S}"))
     if route.target_latency >= route.timeout + MAX_TARGET_OVER_TIMEOUT_S:
-        findings.append(Finding(f"{place}.target_latency", "lies a minute or more over timeout"))
-    if not 1 <= route.max_attempts <= MOST_ATTEMPTS:
-        findings.append(Finding(f"{place}.max_attempts", f"must be 1 to {MOST_ATTEMPTS}"))
-    if abs(route.priority) > LARGEST_COUNT:
-        findings.append(Finding(f"{place}.priority", f"must be at most {LARGEST_COUNT}"))
-    if any(not 0 <= backend.weight <= LARGEST_COUNT for backend in route.backends):
-        findings.append(Finding(f"{place}.backends", "a weight is negative, or no sound number"))
+        findings.append(Finding(f"{place}.target_latency", "must be less than 60 s above timeout"))
+    if not 1 <= route.max_attempts <= MAX_ATTEMPTS:
+        findings.append(Finding(f"{place}.max_attempts", f"must be 1 to {MAX_ATTEMPTS}"))
+    if abs(route.priority) > MAX_COUNT:
+        findings.append(Finding(f"{place}.priority", f"must be at most {MAX_COUNT}"))
+    if any(not 0 <= backend.weight <= MAX_COUNT for backend in route.backends):
+        findings.append(Finding(f"{place}.backends", "weights must be 0 to 2**53 - 1"))
     if sum(backend.weight for backend in route.backends) <= 0:
-        findings.append(Finding(f"{place}.backends", "the weights add up to 0"))
+        findings.append(Finding(f"{place}.backends", "the sum of the weights must be above 0"))
     for backend in route.backends:
         if backend.service not in services:
             findings.append(Finding(f"{place}.backends", f"no service {backend.service!r}"))
@@ -67,8 +66,8 @@
     if not service.health_path.startswith("/"):
         findings.append(Finding(f"{place}.health_path", "must begin with a slash"))
     for name in ("max_connections", "cold_start", "cold_rate"):
-        if not 0 <= getattr(service, name) <= LARGEST_COUNT:
-            findings.append(Finding(f"{place}.{name}", f"must be 0 to {LARGEST_COUNT}"))
+        if not 0 <= getattr(service, name) <= MAX_COUNT:
+            findings.append(Finding(f"{place}.{name}", f"must be 0 to {MAX_COUNT}"))
     return findings
 
 
@@ -80,7 +79,7 @@
         "idle_timeout": limits.idle_timeout,
     }
     return [
-        Finding(f"{place}.{name}", f"must be above 0, at most {LARGEST_COUNT}")
+        Finding(f"{place}.{name}", f"must be above 0, at most {MAX_COUNT}")
         for name, value in values.items()
-        if not 0 < value <= LARGEST_COUNT
+        if not 0 < value <= MAX_COUNT
     ]
--- a/src/finchway/catalog/_items.py
+++ b/src/finchway/catalog/_items.py
@@ -16,7 +16,7 @@
 
 
 class RouteType(Enum):
-    """Whether requests on a route may run more than once; uploads may not."""
+    """Whether the requests of a route are safe to retry; `UPLOAD` requests are not."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -24,16 +24,16 @@
 
 
 class Backend(Struct, frozen=True, array_like=True):
-    """A service that gets `weight` parts of a route's requests."""
+    """A service that gets a fraction of a route's requests in proportion to `weight`."""
 
     service: str
     weight: float
 
 
 class Route(Struct, frozen=True, kw_only=True, tag_field="item", tag="route"):
-    """Where the requests of a host below a path go.
+    """Maps the requests of a host below a path prefix to services.
 
-    `priority` is a rank, 0 first; `allowed_regions` empty means everywhere.
+    `priority` is a rank, 0 being the highest; empty `allowed_regions` means all regions.
     """
 
     host: str
@@ -49,9 +49,10 @@
 
 
 class ServiceSpec(Struct, frozen=True, kw_only=True, tag_field="item", tag="service"):
-    """How the upstreams of a service are to be treated.
+    """Settings for the upstreams of a service.
 
-    A cold upstream takes `cold_rate` requests a second for `cold_start` seconds after its start.
+    An upstream gets at most `cold_rate` requests per second for `cold_start` seconds after its
+    start.
     """
 
     health_path: str = "/health"
@@ -61,7 +62,7 @@
 
 
 class Limits(Struct, frozen=True, kw_only=True, tag_field="item", tag="limits"):
-    """What callers may send, and how long they may take."""
+    """Size limits and timeouts for callers' requests."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 64 * 1024 * 1024
@@ -73,9 +74,9 @@
 
 
 class Item(Struct, frozen=True, kw_only=True):
-    """One versioned item; without a `spec` it is dropped.
+    """A versioned item; one without a `spec` is deleted.
 
-    `source` is the document that the operator sent, given back unchanged on reads.
+    `source` is the operator's document, returned unchanged on reads.
     """
 
     kind: ItemKind
@@ -86,5 +87,5 @@
 
     @property
     def key(self) -> str:
-        """The key under which the catalog holds the item."""
+        """The item's key in the catalog."""
         return f"{self.kind.value}/{self.name}"
--- a/src/finchway/resources/__init__.py
+++ b/src/finchway/resources/__init__.py
@@ -1,4 +1,4 @@
-"""What operators declare, and the checks on it.
+"""Declarative resources and their validation.
 
 A resource has a kind, a name, a spec that operators write and a status that the system writes.
 """
--- a/src/finchway/resources/_check.py
+++ b/src/finchway/resources/_check.py
@@ -1,4 +1,4 @@
-"""Checks on resources that collect every finding with its place."""
+"""Validation of resources; collects all findings, each with its place."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 def parse_spec(kind: str, raw: Any, place: str = "spec") -> Spec:
-    """Turn decoded JSON or YAML into the spec of `kind`.
+    """Convert decoded JSON or YAML to the spec of `kind`.
 
-    Raises `ResourceError` with one finding for each field that is wrong, missing or unknown.
+    Raises `ResourceError` with a finding for each field that is invalid, missing or unknown.
     """
     spec_type = SPECS.get(kind)
     if spec_type is None:
         known = ", ".join(OPERATOR_KINDS)
         raise ResourceError([Finding(place, f"unknown kind {kind!r}", f"one of {known}")])
-    findings = _find(spec_type, raw, place)
+    findings = _check_mapping(spec_type, raw, place)
     if findings:
         raise ResourceError(findings, f"{kind} spec")
     return msgspec.convert(raw, spec_type)
 
 
-def _find(spec_type: type[Spec], raw: Any, place: str) -> list[Finding]:
+def _check_mapping(spec_type: type[Spec], raw: Any, place: str) -> list[Finding]:
     if not isinstance(raw, dict):
         return [Finding(place, f"expected a mapping, got {type(raw).__name__}")]
     fields = {field.encode_name: field for field in msgspec.structs.fields(spec_type)}
@@ -42,36 +42,36 @@
             if field.required:
                 findings.append(Finding(f"{place}.{name}", "required field is missing"))
             continue
-        findings += _find_value(field.type, raw[name], f"{place}.{name}")
+        findings += _check_value(field.type, raw[name], f"{place}.{name}")
     return findings
 
 
-def _find_value(kind: Any, value: Any, place: str) -> list[Finding]:
-    args = getattr(kind, "__args__", ())
-    origin = getattr(kind, "__origin__", None)
+def _check_value(value_type: Any, value: Any, place: str) -> list[Finding]:
+    args = getattr(value_type, "__args__", ())
+    origin = getattr(value_type, "__origin__", None)
     if origin is list and isinstance(value, list):
         return [
-            found
+            finding
             for index, item in enumerate(value)
-            for found in _find_value(args[0], item, f"{place}[{index}]")
+            for finding in _check_value(args[0], item, f"{place}[{index}]")
         ]
     if origin is dict and isinstance(value, dict):
-        found = []
+        findings = []
         for key, item in value.items():
-            found += _find_value(args[0], key, f"{place}.{key}")
-            found += _find_value(args[1], item, f"{place}.{key}")
-        return found
-    if isinstance(kind, type) and issubclass(kind, Spec):
-        return _find(kind, value, place)
+            findings += _check_value(args[0], key, f"{place}.{key}")
+            findings += _check_value(args[1], item, f"{place}.{key}")
+        return findings
+    if isinstance(value_type, type) and issubclass(value_type, Spec):
+        return _check_mapping(value_type, value, place)
     try:
-        msgspec.convert(value, kind)
+        msgspec.convert(value, value_type)
     except msgspec.ValidationError as error:
         return [Finding(place, str(error))]
     return []
 
 
 class Draft(msgspec.Struct, frozen=True):
-    """A resource as an operator wrote it, checked on its own but not yet accepted."""
+    """A resource from an operator whose spec is valid but which is not accepted yet."""
 
     kind: str
     name: str
@@ -79,9 +79,9 @@
 
 
 def parse_document(documents: list[Any], source: str) -> list[Draft]:
-    """Check a list of `{kind, name, spec}` mappings read from `source`.
+    """Convert `{kind, name, spec}` mappings read from `source` to drafts.
 
-    Raises `ResourceError` with the findings of all documents together.
+    Raises `ResourceError` with the findings of all documents.
     """
     drafts: list[Draft] = []
     findings: list[Finding] = []
@@ -105,17 +105,19 @@
 
 
 def check_name(name: str, place: str) -> list[Finding]:
-    """Check the name of a resource; an empty list means that it is well formed."""
-    return _find_value(Name, name, place)
+    """Validate the name of a resource."""
+    return _check_value(Name, name, place)
 
 
 def check_references(kind: str, name: str, spec: Spec, store: ResourceStore) -> list[Finding]:
-    """Check that what a spec refers to exists in the store and that its numbers agree."""
-    found: list[Finding] = []
+    """Check that the resources a spec refers to exist and that the spec is consistent with them."""
+    findings: list[Finding] = []
     for field, target in _references(spec):
         if store.get(target[0], target[1]) is None:
-            found.append(Finding(f"{kind}/{name}.{field}", f"no such {target[0]}: {target[1]!r}"))
-    return found + _check_rules(kind, name, spec, store)
+            findings.append(
+                Finding(f"{kind}/{name}.{field}", f"no such {target[0]}: {target[1]!r}")
+            )
+    return findings + _check_rules(kind, name, spec, store)
 
 
 def _references(spec: Spec) -> list[tuple[str, tuple[str, str]]]:
@@ -155,31 +157,31 @@
         case s.Pool(region=region, upstreams=upstreams):
             return _check_pool(name, region, upstreams, store)
         case s.Drain(target=target):
-            what, _, which = target.partition("/")
-            if what != "upstream" and store.get(what, which) is None:
-                return [Finding(f"{place}.target", f"no such {what}: {which!r}")]
-            if what == "upstream" and not _upstream_exists(which, store):
-                return [Finding(f"{place}.target", f"no pool has an upstream {which!r}")]
+            target_kind, _, target_name = target.partition("/")
+            if target_kind != "upstream" and store.get(target_kind, target_name) is None:
+                return [Finding(f"{place}.target", f"no such {target_kind}: {target_name!r}")]
+            if target_kind == "upstream" and not _upstream_exists(target_name, store):
+                return [Finding(f"{place}.target", f"no pool has an upstream {target_name!r}")]
     return []
 
 
 def _check_pool(name: str, region: str, upstreams: list, store: ResourceStore) -> list[Finding]:
-    found = []
+    findings = []
     others = [pool for pool in store.of_kind("pool") if pool.name != name]
-    taken = {u.address: pool.name for pool in others for u in pool.spec.upstreams}
+    owners = {u.address: pool.name for pool in others for u in pool.spec.upstreams}
     seen: set[str] = set()
     for index, upstream in enumerate(upstreams):
-        where = f"pool/{name}.upstreams[{index}]"
+        place = f"pool/{name}.upstreams[{index}]"
         if upstream.address in seen:
-            found.append(Finding(f"{where}.address", f"{upstream.address} is listed twice"))
-        if upstream.address in taken:
-            problem = f"{upstream.address} belongs to pool/{taken[upstream.address]}"
-            found.append(Finding(f"{where}.address", problem))
+            findings.append(Finding(f"{place}.address", f"{upstream.address} is listed twice"))
+        if upstream.address in owners:
+            problem = f"{upstream.address} belongs to pool/{owners[upstream.address]}"
+            findings.append(Finding(f"{place}.address", problem))
         seen.add(upstream.address)
         zone = store.get("zone", upstream.zone)
         if zone is not None and zone.spec.region != region:
-            found.append(Finding(f"{where}.zone", f"{upstream.zone} is not in region {region}"))
-    return found
+            findings.append(Finding(f"{place}.zone", f"{upstream.zone} is not in region {region}"))
+    return findings
 
 
 def _upstream_exists(address: str, store: ResourceStore) -> bool:
@@ -188,10 +190,14 @@
 
 
 def find_dependents(kind: str, name: str, store: ResourceStore) -> list[Finding]:
-    """List what still refers to a resource, as findings that speak against its deletion."""
-    held = store.get(kind, name)
-    if held is not None and isinstance(held.status, MoveStatus) and held.status.percent > 0:
-        problem = f"the move holds {held.status.percent:g}% of the callers"
+    """Return a finding for each reason that prevents the deletion of a resource."""
+    resource = store.get(kind, name)
+    if (
+        resource is not None
+        and isinstance(resource.status, MoveStatus)
+        and resource.status.percent > 0
+    ):
+        problem = f"the move still shifts {resource.status.percent:g}% of the callers"
         hint = "set goal_percent to 0 and wait until it is done"
         return [Finding(f"{kind}/{name}.status.percent", problem, hint)]
     return [
--- a/src/finchway/resources/_specs.py
+++ b/src/finchway/resources/_specs.py
@@ -1,7 +1,7 @@
 """The spec of each kind of resource.
 
-Times are in the unit that the name ends in (`_ms`, `_s`), shares are fractions of one, and
-percentages are named so. Addresses are `IP:port`; names of hosts are not resolved.
+The suffix of a field is its unit (`_ms`, `_s`, `_percent`); other shares are fractions of one.
+Addresses are `IP:port`; host names are not resolved.
 """
 
 from __future__ import annotations
@@ -21,46 +21,46 @@
 
 
 class Spec(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The base of all specs: immutable, with named fields, unknown fields refused."""
+    """Base class of specs: immutable; unknown fields are rejected."""
 
 
 class Region(Spec):
-    """A group of availability zones; `latency_ms` is the one-way time to other regions."""
+    """A group of availability zones; `latency_ms` is the one-way latency to other regions."""
 
     latency_ms: dict[Name, Annotated[float, Meta(ge=0)]] = {}
 
 
 class Zone(Spec):
-    """An availability zone and the region it lies in."""
+    """An availability zone and its region."""
 
     region: Name
 
 
 class Site(Spec):
-    """A place that client blocks are mapped to; its callers are served from `region` first."""
+    """A location that client blocks map to; `region` is the preferred region of its callers."""
 
     region: Name
 
 
 class ClientBlocks(Spec):
-    """Client blocks (`prefix/length`, IPv4) of one site."""
+    """IPv4 blocks (`prefix/length`) of the clients at a site."""
 
     site: Name
     blocks: list[Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}/\d{1,2}$")]]
 
 
 class Priority(Spec):
-    """A paid priority; the lowest `rank` is served first, the highest is refused first."""
+    """A paid priority: the lowest `rank` is served first, the highest is shed first."""
 
     rank: Annotated[int, Meta(ge=0, le=99)]
 
 
 class Service(Spec):
-    """A service that callers use by its name.
+    """A service that callers address by name.
 
-    `once_only` services need an `Idempotency-Key` and are run at most once per key. `entries` is
-    how many entry instances share the service's capacity, `floor_fraction` the part of it that
-    they own outright; the rest is lent by the leader.
+    Requests to `once_only` services need an `Idempotency-Key` and run at most once per key.
+    `entries` is the number of entry instances that share the service's capacity. They own
+    `floor_fraction` of it permanently; the leader lends out the rest.
     """
 
     once_only: bool = False
@@ -75,7 +75,7 @@
 
 
 class Upstream(Spec):
-    """One back end of a pool: `slots` requests run at once, `connections` may be open."""
+    """A back end of a pool, with limits on concurrent requests (`slots`) and open connections."""
 
     address: Address
     zone: Name
@@ -86,8 +86,8 @@
 class Pool(Spec):
     """The upstreams of a service in one region.
 
-    `queue_allowance` is how much work, as a part of the slots, may wait inside an upstream;
-    `ramp_s` is how long a new upstream takes to reach its full share.
+    `queue_allowance` is the number of requests, as a fraction of the slots, that may queue inside
+    an upstream; `ramp_s` is the slow-start period of a new upstream.
     """
 
     service: Name
@@ -100,8 +100,8 @@
 class Capacity(Spec):
     """Limits of a service in a region.
 
-    `headroom` is kept free of the slots. `inbound_percent` caps the callers that all shifts
-    together may bring into the region within `window_s`.
+    `headroom` is the fraction of the slots that is kept free. `inbound_percent` limits the callers
+    that all moves together may shift into the region within `window_s`.
     """
 
     service: Name
@@ -112,29 +112,29 @@
 
 
 class Contract(Spec):
-    """What an organisation pays for at one service: a priority, up to `rate` requests/s."""
+    """An organisation's terms at a service: a priority for up to `rate` requests per second."""
 
     priority: Name
     rate: Annotated[float, Meta(gt=0)] = 1_000_000.0
 
 
 class Organisation(Spec):
-    """A customer: SHA-256 digests of its credentials, and a contract for each service."""
+    """A customer, with the SHA-256 digests of its credentials and a contract per service."""
 
     credentials: list[Digest]
     contracts: dict[Name, Contract]
 
 
 class Drain(Spec):
-    """A planned stop of `upstream/IP:port`, `zone/NAME`, `region/NAME` or `instance/NAME`."""
+    """A graceful drain of `upstream/IP:port`, `zone/NAME`, `region/NAME` or `instance/NAME`."""
 
     target: Annotated[str, Meta(pattern=r"^(upstream|zone|region|instance)/.+$")]
 
 
 class Move(Spec):
-    """A planned shift of a service's callers from one region to another, in steps.
+    """A gradual shift of a service's callers from one region to another.
 
-    A lower goal takes callers back; a move can be deleted once its percentage is zero.
+    Lowering the goal shifts callers back; a move can be deleted once its percentage is zero.
     """
 
     service: Name
@@ -146,21 +146,21 @@
 
 
 class Role(Enum):
-    """What an operator may do; `change` includes `read`."""
+    """Permissions of an operator; `CHANGE` includes `READ`."""
 
     READ = "read"
     CHANGE = "change"
 
 
 class Operator(Spec):
-    """A person or program that drives the resource API; its credential is kept as a digest."""
+    """A user of the resource API; `credential` is the digest of its token."""
 
     role: Role
     credential: Digest
 
 
 class InstanceState(Enum):
-    """What the leader knows of an entry instance."""
+    """State of an entry instance as seen by the leader."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -169,7 +169,7 @@
 
 
 class Instance(Spec):
-    """An entry instance, written by the leader from heartbeats and the platform's list."""
+    """An entry instance, maintained by the leader from heartbeats and the platform's list."""
 
     address: Address
     peer: Address
@@ -179,18 +179,18 @@
 
 
 class Leaving(Spec):
-    """A mark on one life of an upstream, written by the leader: it receives no new work.
+    """Marks one incarnation of an upstream as leaving, so that it gets no new requests.
 
-    Some entry has learnt it from the upstream or the platform; the mark tells all others.
+    An entry learns this from the upstream or the platform; the leader's mark informs the others.
     """
 
     incarnation: str = ""
 
 
 class Division(Spec):
-    """How the slots of a service's upstreams in one region are divided among entries.
+    """The division of the slots of a service's upstreams in one region among entries.
 
-    `slots` is how many requests all entries together may have in flight at each upstream.
+    `slots` is the number of requests that all entries together may have in flight per upstream.
     """
 
     members: list[str] = []
@@ -199,10 +199,10 @@
 
 
 class Share(Spec):
-    """The division in force for a service in a region, written by the leader.
+    """The division in force for a service in a region, maintained by the leader.
 
-    While `previous` is set each entry uses the smaller of its floors under both divisions; when
-    every holder has shrunk, the leader settles the share by dropping `previous`.
+    While `previous` is set, each entry uses the smaller of its floors under both divisions. Once
+    every holder has reduced its floor, the leader settles the share by removing `previous`.
     """
 
     service: Name
--- a/src/finchway/resources/_status.py
+++ b/src/finchway/resources/_status.py
@@ -1,4 +1,4 @@
-"""The state that the system produces for a resource, written by the leader."""
+"""The status of a resource, written by the leader."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Phase(Enum):
-    """Where a planned change stands."""
+    """Phase of a drain or move."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -17,7 +17,7 @@
 
 
 class DrainStatus(Struct, frozen=True, tag="drain", kw_only=True):
-    """Progress of a drain: requests still in flight, and since when nothing new was sent."""
+    """Progress of a drain, with the number of requests still in flight."""
 
     phase: Phase = Phase.PENDING
     in_flight: int = 0
@@ -27,16 +27,16 @@
 
 
 class Step(Struct, frozen=True, array_like=True):
-    """One step of a move; a negative percentage takes callers back."""
+    """One step of a move; a negative percentage shifts callers back."""
 
     at_ms: int
     percent: float
 
 
 class MoveStatus(Struct, frozen=True, tag="move", kw_only=True):
-    """Progress of a move: the committed percentage, and why it holds when it does.
+    """Progress of a move: the committed percentage, and the reason if it is held.
 
-    `recent` keeps the steps of the last window, so that a new leader knows what the cap has left.
+    `recent` has the steps of the last window, so that a new leader can enforce the inbound limit.
     """
 
     phase: Phase = Phase.PENDING
--- a/src/finchway/resources/_store.py
+++ b/src/finchway/resources/_store.py
@@ -1,4 +1,4 @@
-"""Resources by kind and name, and the changes that lead from one revision to the next."""
+"""The resource store, and the changes between its revisions."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class Resource(Struct, frozen=True):
-    """A resource as accepted.
+    """An accepted resource.
 
-    `generation` counts changes of the spec, `revision` is the global number of the last change
+    `generation` counts changes of the spec; `revision` is the global revision of the last change
     of spec or status.
     """
 
@@ -28,17 +28,17 @@
 
 
 class Operation(Enum):
-    """What a change did to a resource."""
+    """Whether a change stores or deletes a resource."""
 
     PUT = "put"
     DELETE = "delete"
 
 
 class Change(Struct, frozen=True):
-    """One step of the global history: the resource as it is after `revision`.
+    """An entry of the global history: a resource as of `revision`.
 
-    The spec travels as JSON, because its type follows from the kind; `now_ms` is the leader's
-    wall clock when it proposed the change.
+    The spec is encoded as JSON because its type depends on the kind; `now_ms` is the leader's wall
+    clock when it proposed the change.
     """
 
     revision: int
@@ -51,13 +51,13 @@
     now_ms: int
 
     def resource(self) -> Resource:
-        """Decode the resource that this change left behind."""
+        """Decode the resource as of this change."""
         spec = msgspec.json.decode(self.spec, type=SPECS[self.kind])
         return Resource(self.kind, self.name, spec, self.generation, self.revision, self.status)
 
 
 def change_of(resource: Resource, operation: Operation, now_ms: int) -> Change:
-    """Wrap a resource as the change that produced it."""
+    """Return the change that produced a resource."""
     return Change(
         resource.revision,
         operation,
@@ -74,45 +74,45 @@
     """All resources at one revision.
 
     Changes are applied in the order of their revisions; one that is not newer than the store is
-    passed over, so a delta that arrives late or twice does no harm.
+    ignored, so late and duplicate changes are harmless.
     """
 
-    __slots__ = ("_kinds", "_revision")
+    __slots__ = ("_by_kind", "_revision")
 
     def __init__(self, resources: list[Resource] | None = None, revision: int = 0) -> None:
-        self._kinds: dict[str, dict[str, Resource]] = {kind: {} for kind in SPECS}
+        self._by_kind: dict[str, dict[str, Resource]] = {kind: {} for kind in SPECS}
         self._revision = revision
         for resource in resources or []:
-            self._kinds[resource.kind][resource.name] = resource
+            self._by_kind[resource.kind][resource.name] = resource
 
     @property
     def revision(self) -> int:
-        """The revision of the newest change that the store holds."""
+        """The revision of the latest change in the store."""
         return self._revision
 
     def __iter__(self) -> Iterator[Resource]:
-        for kind in self._kinds.values():
+        for kind in self._by_kind.values():
             yield from kind.values()
 
     def get(self, kind: str, name: str) -> Resource | None:
-        """Return one resource, or None."""
-        return self._kinds.get(kind, {}).get(name)
+        """Return a resource, or None if it does not exist."""
+        return self._by_kind.get(kind, {}).get(name)
 
     def of_kind(self, kind: str) -> list[Resource]:
-        """Return the resources of a kind, in the order of their names."""
-        return [resource for _, resource in sorted(self._kinds.get(kind, {}).items())]
+        """Return the resources of a kind, sorted by name."""
+        return [resource for _, resource in sorted(self._by_kind.get(kind, {}).items())]
 
     def apply(self, change: Change) -> bool:
-        """Apply one change; False if the store already is at its revision or a later one."""
+        """Apply a change; return False if the store is already at its revision or a later one."""
         if change.revision <= self._revision:
             return False
         self.put(change.resource(), change.operation)
         return True
 
     def put(self, resource: Resource, operation: Operation = Operation.PUT) -> None:
-        """Take in a resource and its revision."""
+        """Store or delete a resource and advance to its revision."""
         self._revision = resource.revision
         if operation is Operation.DELETE:
-            self._kinds[resource.kind].pop(resource.name, None)
+            self._by_kind[resource.kind].pop(resource.name, None)
         else:
-            self._kinds[resource.kind][resource.name] = resource
+            self._by_kind[resource.kind][resource.name] = resource
--- a/tests/unit/test_catalog.py
+++ b/tests/unit/test_catalog.py
@@ -1,4 +1,4 @@
-"""Items of the traffic catalog: versions, checks as one unit, and the route of a request."""
+"""The traffic catalog: item versions, atomic changes and route matching."""
 
 import pytest
 
@@ -36,7 +36,7 @@
     return ChangeItems(now_ms=0, items=list(items))
 
 
-def started():
+def populated_steering():
     steering = Steering()
     assert steering.change_items(change(service(), route())) == Steered(1)
     return steering
@@ -46,32 +46,32 @@
     return steering.catalog.get("route/r")
 
 
-def test_higher_version_wins_and_lower_changes_nothing():
-    steering = started()
+def test_higher_version_wins_and_lower_is_ignored():
+    steering = populated_steering()
     assert steering.change_items(change(route(version=5, timeout=2.0))) == Steered(2)
     assert steering.change_items(change(route(version=3, timeout=9.0))) == Steered(2)
     assert held_route(steering).spec.timeout == 2.0
 
 
-def test_resend_is_answered_alike():
-    steering = started()
-    again = change(service(), route())
-    assert steering.change_items(again) == Steered(1)
-    assert steering.change_items(again) == Steered(1)
+def test_resending_a_change_is_idempotent():
+    steering = populated_steering()
+    resent = change(service(), route())
+    assert steering.change_items(resent) == Steered(1)
+    assert steering.change_items(resent) == Steered(1)
 
 
-def test_same_version_with_other_content_is_refused_and_nothing_flips():
-    steering = started()
+def test_same_version_with_other_content_is_refused_atomically():
+    steering = populated_steering()
     result = steering.change_items(change(route(timeout=2.0), service("t")))
     assert isinstance(result, VersionTaken)
     assert held_route(steering).spec.timeout == 1.0
     assert steering.catalog.service("t") is None
 
 
-def test_a_dropped_item_stays_dropped_when_an_older_change_arrives_late():
-    steering = started()
-    drop = Item(kind=ItemKind.ROUTE, name="r", version=9)
-    steering.change_items(change(drop))
+def test_a_deleted_item_stays_deleted_when_an_older_change_arrives_late():
+    steering = populated_steering()
+    deletion = Item(kind=ItemKind.ROUTE, name="r", version=9)
+    steering.change_items(change(deletion))
     steering.change_items(change(route(version=8)))
     assert steering.catalog.match("a.example", "/x/1") is None
 
@@ -87,16 +87,16 @@
         ({"path_prefix": "/x"}, "path_prefix"),
     ],
 )
-def test_an_invalid_change_is_refused_whole(fields, place):
-    steering = started()
+def test_an_invalid_change_is_refused_atomically(fields, place):
+    steering = populated_steering()
     result = steering.change_items(change(service("t"), route(version=2, **fields)))
     assert isinstance(result, Rejected)
-    assert any(place in found for found, _ in result.findings)
+    assert any(place in found_place for found_place, _ in result.findings)
     assert steering.catalog.service("t") is None
     assert steering.revision == 1
 
 
-def test_a_route_may_name_a_service_of_the_same_change():
+def test_a_route_may_refer_to_a_service_of_the_same_change():
     steering = Steering()
     assert isinstance(steering.change_items(change(route(), service())), Steered)
 
@@ -113,7 +113,7 @@
     assert catalog.match("a.example", "/") is None
 
 
-def test_limits_follow_the_newest_item():
+def test_limits_are_those_of_the_newest_item():
     catalog = Catalog()
     assert catalog.limits == Limits()
     newest = Limits(header_bytes=1, body_bytes=2, header_timeout=3.0, idle_timeout=4.0)
--- a/tests/unit/test_resources.py
+++ b/tests/unit/test_resources.py
@@ -1,4 +1,4 @@
-"""Resources: every fault is found with its place, and nothing malformed gets through."""
+"""Validation of resources: each problem is reported with its place, malformed input rejected."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return [finding.place for finding in error.value.findings]
 
 
-def test_all_faults_of_a_document_are_reported_together():
+def test_all_problems_of_a_document_are_reported_together():
     documents = [
         {"kind": "pool", "name": "p", "spec": {"service": "s", "upstreams": [{"slots": 0}]}},
         {"kind": "nothing", "name": "x"},
@@ -50,12 +50,12 @@
     ]
 
 
-def test_system_kinds_are_not_for_operators():
+def test_operators_cannot_write_system_kinds():
     with pytest.raises(ResourceError):
         parse_document([{"kind": "share", "name": "s", "spec": {}}], "f")
 
 
-def test_references_and_numbers_must_agree():
+def test_references_must_exist_and_be_consistent():
     store = ResourceStore(
         [
             Resource("region", "north", Region(), 1, 1),
@@ -69,9 +69,9 @@
     spec = parse_spec(
         "pool", {"service": "s", "region": "north", "upstreams": [upstream, upstream]}
     )
-    found = [str(finding) for finding in check_references("pool", "p", spec, store)]
-    assert any("not in region north" in text for text in found)
-    assert any("listed twice" in text for text in found)
+    problems = [str(finding) for finding in check_references("pool", "p", spec, store)]
+    assert any("not in region north" in text for text in problems)
+    assert any("listed twice" in text for text in problems)
     other = parse_spec("pool", {"service": "s", "region": "south", "upstreams": [upstream]})
     assert not check_references("pool", "q", other, store)
     store.put(Resource("pool", "q", other, 1, 5))
@@ -79,7 +79,7 @@
     assert {f.place for f in find_dependents("service", "s", store)} == {"pool/q.service"}
 
 
-def test_a_drain_names_something_that_exists():
+def test_a_drain_must_have_an_existing_target():
     store = ResourceStore()
     spec = parse_spec("drain", {"target": "upstream/10.0.0.1:80"})
     assert "no pool has" in str(check_references("drain", "d", spec, store)[0])
@@ -101,7 +101,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(kind=st.sampled_from(OPERATOR_KINDS), raw=JSON)
-def test_any_json_becomes_a_spec_or_findings(kind, raw):
+def test_any_json_is_converted_or_rejected_with_findings(kind, raw):
     try:
         spec = parse_spec(kind, raw)
     except ResourceError as error:
@@ -110,14 +110,14 @@
         assert msgspec.convert(msgspec.to_builtins(spec), type(spec)) == spec
 
 
-def test_findings_agree_with_the_decoder():
+def test_parse_spec_agrees_with_the_decoder():
     raw = {"service": "s", "region": "r", "upstreams": [{"address": "1.2.3.4:5", "zone": "z"}]}
     assert parse_spec("pool", raw) == msgspec.convert(raw, Pool)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(data=st.binary(max_size=200))
-def test_any_bytes_become_a_message_or_an_error(data):
+def test_any_bytes_are_decoded_or_rejected_with_an_error(data):
     try:
         envelope = msgspec.msgpack.decode(data, type=Envelope)
     except (msgspec.MsgspecError, UnicodeDecodeError):
