--- a/src/finchway/__init__.py
+++ b/src/finchway/__init__.py
@@ -1,6 +1,6 @@
-"""finchway: global traffic steering, and the coordination parts that it is made of.
+"""finchway: global traffic steering, and the coordination components it is built from.
 
-The parts that others embed do no I/O and read no clock:
+The classes exported here can be embedded; they do no I/O and read no clock:
 
     from finchway import Core, Gate, StateMachine
 """
--- a/src/finchway/_clock.py
+++ b/src/finchway/_clock.py
@@ -1,7 +1,7 @@
-"""The clocks of a process: the event loop's counts suspensions, the time of day passes over jumps.
+"""Clocks: an event loop clock that counts suspensions and a wall clock that filters out jumps.
 
-The steady clock stands still while a machine is suspended. A process that measured ages by it would
-wake with leases, deadlines and knowledge that seem as new as when it fell asleep.
+`time.monotonic()` does not advance while the machine is suspended. Leases, deadlines and cached
+state measured by it would still look fresh after the machine resumes.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 import trio
 
-# Seconds that the loop sleeps at most. The kernel measures a sleep by the steady clock, so what
-# came due while the machine was suspended is seen this much later at the latest.
-LONGEST_SLEEP_S = 0.2
-# Seconds that the clock shows at the start of a machine, so that no time in use is below zero.
-FIRST_S = 100_000.0
-# Seconds between two looks at the time of day beyond which it has jumped, not been slewed, and for
-# which a jump must last before it is followed: a machine that started with a wrong time of day is
-# put right once, and a mistake is often taken back.
-JUMP_S = 1.0
-FOLLOWED_AFTER_S = 600.0
+# The kernel measures sleeps by the monotonic clock, so a deadline that passes during a suspension
+# is noticed at most this long after the machine resumes.
+MAX_SLEEP_S = 0.2
+# Clock value at boot; keeps times that lie before boot positive.
+INITIAL_TIME_S = 100_000.0
+# Larger changes of the wall clock between two reads are jumps, smaller ones are slewing.
+JUMP_THRESHOLD_S = 1.0
+# A jump is adopted once it has lasted this long, so that a mistaken step that is soon reverted has
+# no effect.
+JUMP_ADOPTED_AFTER_S = 600.0
 
 
 def read_since_boot() -> float:
-    """Return the seconds since the machine started, suspended or not.
+    """Return the seconds since boot, including time in suspension.
 
-    Where the system has no such clock, those of its steady clock.
+    Falls back to the monotonic clock on systems without `CLOCK_BOOTTIME`.
     """
     if hasattr(time, "CLOCK_BOOTTIME"):
         return time.clock_gettime(time.CLOCK_BOOTTIME)
@@ -34,7 +34,7 @@
 
 
 class BootClock(trio.abc.Clock):
-    """Measures by the time since the machine started.
+    """A trio clock that counts the time in which the machine was suspended.
 
     trio.run(main, clock=BootClock())
     """
@@ -43,23 +43,23 @@
         self._read = read
 
     def start_clock(self) -> None:
-        """Begin; the clock needs nothing for it."""
+        """Do nothing; the clock needs no initialisation."""
 
     def current_time(self) -> float:
-        """Return the present time in seconds."""
-        return FIRST_S + self._read()
+        """Return the current time in seconds."""
+        return INITIAL_TIME_S + self._read()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return how long to sleep for a deadline; the loop looks again after that."""
-        return min(LONGEST_SLEEP_S, deadline - self.current_time())
+        """Return the seconds to sleep, at most `MAX_SLEEP_S`; the loop then checks again."""
+        return min(MAX_SLEEP_S, deadline - self.current_time())
 
 
 class WallClock:
-    """The time of day, which follows a jump only after that has lasted.
+    """The time of day, adjusted to a jump only after the jump has lasted.
 
-    What is kept for a time in the replicated state goes by the latest time that any command names.
-    One command from a machine whose time of day has jumped ahead would end all of it at once, and
-    hold that clock ahead until the time of day has caught up.
+    The replicated state expires entries by the latest timestamp in any command. A single command
+    from a machine whose clock jumped ahead would expire them all at once, and keep the state's
+    clock ahead until real time has caught up.
 
         clock = WallClock()
         clock.now_ms()
@@ -79,12 +79,12 @@
         """Return the time of day in Unix seconds."""
         boot = self._read_boot()
         offset = self._read() - boot
-        if abs(offset - self._offset) <= JUMP_S:
+        if abs(offset - self._offset) <= JUMP_THRESHOLD_S:
             self._offset = offset
             self._jumped_at = None
         elif self._jumped_at is None:
             self._jumped_at = boot
-        elif boot - self._jumped_at >= FOLLOWED_AFTER_S:
+        elif boot - self._jumped_at >= JUMP_ADOPTED_AFTER_S:
             self._offset = offset
             self._jumped_at = None
         return boot + self._offset
@@ -94,5 +94,5 @@
         return int(self.now() * 1000)
 
 
-# One for each process, so that all its parts name the same time.
+# Shared by the whole process, so that all components use the same time.
 WALL = WallClock()
--- a/src/finchway/_settings.py
+++ b/src/finchway/_settings.py
@@ -1,6 +1,7 @@
 """The settings of `finchwayd`: flags, each with a `FINCHWAY_*` environment variable.
 
-A flag wins over its variable. All findings are collected with their place and reported together.
+A flag takes precedence over its variable. All errors are collected and reported together, each
+with the flag or variable it comes from.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 CONTROL = "control"
 GATEWAY = "gateway"
 _ROLES = (ENTRY, CONTROL, GATEWAY)
-_LEVELS = ("debug", "info", "warning", "error")
-_PREFIX = "FINCHWAY_"
-# Variables of the operators' tool, which may be set in the same shell.
-TOOL_VARIABLES = frozenset(
+_LOG_LEVELS = ("debug", "info", "warning", "error")
+_ENV_PREFIX = "FINCHWAY_"
+# Variables of the `finchway` command, which may be set in the same shell.
+CLI_VARIABLES = frozenset(
     {"FINCHWAY_API", "FINCHWAY_CREDENTIAL", "FINCHWAY_CA_FILE", "FINCHWAY_OUTPUT"}
 )
 
 
 class Settings(Struct, frozen=True, kw_only=True):
-    """The checked settings of one process; empty addresses belong to roles it does not have."""
+    """The validated settings of one process; addresses of roles it does not have are empty."""
 
     instance: str
     roles: tuple[str, ...]
@@ -64,7 +65,7 @@
 
     @property
     def peer_bind(self) -> str:
-        """Where the process listens for finchway's other processes."""
+        """The address to bind for connections from other finchway processes."""
         return self.peer_listen or self.peer_address
 
 
@@ -107,41 +108,41 @@
 def define_flags(values: flags.FlagValues) -> None:
     """Define the flags of `finchwayd`."""
     for flag in _FLAGS:
-        variable = _PREFIX + flag.name.upper()
+        variable = _ENV_PREFIX + flag.name.upper()
         text = f"{flag.help} Environment: {variable}. Default: {flag.default or 'none'}."
         flags.DEFINE_string(flag.name, None, text, flag_values=values)
 
 
 def read_settings(values: flags.FlagValues, environment: Mapping[str, str]) -> Settings:
-    """Combine flags, environment and defaults, and check them.
+    """Combine flags, environment and defaults, and validate them.
 
-    Raises `SettingsError` with every finding and the flag or variable that it comes from.
+    Raises `SettingsError` with all findings, each with the flag or variable it comes from.
     """
     return _Reader(values, environment).read()
 
 
 class _Reader:
-    """Reads settings one by one and collects what is wrong with them."""
+    """Reads the settings and collects all errors."""
 
     def __init__(self, values: flags.FlagValues, environment: Mapping[str, str]) -> None:
         self._findings: list[Finding] = []
         self._raw: dict[str, str] = {}
         self._places: dict[str, str] = {}
         for flag in _FLAGS:
-            given = values[flag.name].value
-            variable = _PREFIX + flag.name.upper()
+            flag_value = values[flag.name].value
+            variable = _ENV_PREFIX + flag.name.upper()
             self._places[flag.name] = f"--{flag.name}"
-            if given is not None:
-                self._raw[flag.name] = given
+            if flag_value is not None:
+                self._raw[flag.name] = flag_value
             elif variable in environment:
                 self._raw[flag.name] = environment[variable]
                 self._places[flag.name] = variable
             else:
                 self._raw[flag.name] = flag.default
-        known = TOOL_VARIABLES | {_PREFIX + flag.name.upper() for flag in _FLAGS}
+        known = CLI_VARIABLES | {_ENV_PREFIX + flag.name.upper() for flag in _FLAGS}
         for variable in sorted(set(environment) - known):
-            if variable.startswith(_PREFIX):
-                self._findings.append(Finding(variable, "no such setting", "see finchwayd --help"))
+            if variable.startswith(_ENV_PREFIX):
+                self._findings.append(Finding(variable, "unknown setting", "see finchwayd --help"))
 
     def read(self) -> Settings:
         roles = self._roles()
@@ -160,7 +161,7 @@
             keys_file=self._file("keys_file"),
             tls_certificate=self._file("tls_certificate"),
             tls_key=self._file("tls_key"),
-            log_level=self._choice("log_level", _LEVELS),
+            log_level=self._choice("log_level", _LOG_LEVELS),
             log_json=self._choice("log_json", ("true", "false")) == "true",
             isolated_after_s=self._seconds("isolated_after_s", 0.0),
             lease_s=self._seconds("lease_s", 0.1),
@@ -169,54 +170,58 @@
             clock_margin_s=self._seconds("clock_margin_s", 0.0),
             election_s=self._seconds("election_s", 0.1),
             drain_limit_s=self._seconds("drain_limit_s", 0.0),
-            relay_above=self._count("relay_above"),
+            relay_above=self._integer("relay_above"),
             region=self._name("region", required=gateway),
             gateway_address=self._address("gateway_address", required=gateway),
             zones=self._zones(),
         )
-        self._check_together(settings)
+        self._check_combinations(settings)
         if self._findings:
             raise SettingsError(self._findings, "settings")
         return settings
 
-    def _check_together(self, settings: Settings) -> None:
+    def _check_combinations(self, settings: Settings) -> None:
         if settings.lease_s < 3 * settings.heartbeat_s:
             problem = f"{settings.lease_s:g} s is shorter than three heartbeats"
-            self._add("lease_s", problem, f"at least {3 * settings.heartbeat_s:g}")
+            self._add_finding("lease_s", problem, f"at least {3 * settings.heartbeat_s:g}")
         if (settings.tls_certificate is None) != (settings.tls_key is None):
-            self._add("tls_certificate", "certificate and key are given together or not at all")
+            self._add_finding(
+                "tls_certificate", "certificate and key are given together or not at all"
+            )
 
-    def _add(self, name: str, problem: str, hint: str = "") -> None:
+    def _add_finding(self, name: str, problem: str, hint: str = "") -> None:
         self._findings.append(Finding(self._places[name], problem, hint))
 
     def _roles(self) -> tuple[str, ...]:
         roles = tuple(part.strip() for part in self._raw["roles"].split(",") if part.strip())
         for role in roles:
             if role not in _ROLES:
-                self._add("roles", f"unknown role {role!r}", "entry, control, gateway")
+                self._add_finding("roles", f"unknown role {role!r}", "entry, control, gateway")
         if not roles:
-            self._add("roles", "at least one role is needed", "entry, control, gateway")
+            self._add_finding("roles", "at least one role is needed", "entry, control, gateway")
         return roles
 
     def _name(self, name: str, required: bool = True) -> str:
         value = self._raw[name]
         if not value and required:
-            self._add(name, "is required")
+            self._add_finding(name, "is required")
         elif value and not all(
             c.isalnum() and c.islower() or c.isdigit() or c in ".-" for c in value
         ):
-            self._add(name, f"{value!r} is not a name", "lower-case letters, digits, . and -")
+            self._add_finding(
+                name, f"{value!r} is not a valid name", "lower-case letters, digits, . and -"
+            )
         return value
 
     def _address(self, name: str, required: bool = False) -> str:
         value = self._raw[name]
         if not value:
             if required:
-                self._add(name, "is required", "IP:port")
+                self._add_finding(name, "is required", "IP:port")
             return ""
         problem = check_address(value)
         if problem:
-            self._add(name, problem, "IP:port, names of hosts are not resolved")
+            self._add_finding(name, problem, "IP:port, host names are not resolved")
         return value
 
     def _zones(self) -> dict[str, str]:
@@ -226,7 +231,9 @@
             if separator and zone and region:
                 zones[zone] = region
             elif part.strip():
-                self._add("zones", f"{part.strip()!r} is not ZONE=REGION", "north-a=north,...")
+                self._add_finding(
+                    "zones", f"{part.strip()!r} is not ZONE=REGION", "north-a=north,..."
+                )
         return zones
 
     def _peers(self, required: bool) -> tuple[str, ...]:
@@ -237,18 +244,18 @@
                 place = f"{self._places['control_peers']}[{index}]"
                 self._findings.append(Finding(place, problem, "IP:port"))
         if required and not peers:
-            self._add("control_peers", "is required for a process without the control role")
+            self._add_finding("control_peers", "is required for a process without the control role")
         return peers
 
     def _folder(self, required: bool) -> Path | None:
         value = self._raw["data_folder"]
         if not value:
             if required:
-                self._add("data_folder", "is required for control")
+                self._add_finding("data_folder", "is required for control")
             return None
         path = Path(value)
         if path.exists() and not path.is_dir():
-            self._add("data_folder", f"{value} is not a folder")
+            self._add_finding("data_folder", f"{value} is not a directory")
         return path
 
     def _file(self, name: str) -> Path | None:
@@ -257,40 +264,40 @@
             return None
         path = Path(value)
         if not os.access(path, os.R_OK):
-            self._add(name, f"{value} cannot be read")
+            self._add_finding(name, f"{value} cannot be read")
         return path
 
     def _choice(self, name: str, choices: tuple[str, ...]) -> str:
         value = self._raw[name].lower()
         if value not in choices:
-            self._add(name, f"{value!r} is not known", f"one of {', '.join(choices)}")
+            self._add_finding(name, f"{value!r} is not known", f"one of {', '.join(choices)}")
         return value
 
-    def _count(self, name: str) -> int:
+    def _integer(self, name: str) -> int:
         value = self._raw[name]
         if not value.isdigit():
-            self._add(name, f"{value!r} is not a whole number")
+            self._add_finding(name, f"{value!r} is not a whole number")
             return 0
         return int(value)
 
-    def _seconds(self, name: str, least: float) -> float:
+    def _seconds(self, name: str, minimum: float) -> float:
         try:
             value = float(self._raw[name])
         except ValueError:
-            self._add(name, f"{self._raw[name]!r} is not a number of seconds")
+            self._add_finding(name, f"{self._raw[name]!r} is not a number of seconds")
             return 1.0
-        if not least <= value <= 86_400:
-            self._add(name, f"{value:g} is out of range", f"from {least:g} to 86400")
+        if not minimum <= value <= 86_400:
+            self._add_finding(name, f"{value:g} is out of range", f"from {minimum:g} to 86400")
         return value
 
 
 def check_address(value: str) -> str:
-    """Return what is wrong with an `IP:port`; empty if nothing is."""
+    """Return the error in an `IP:port` address, or an empty string if it is valid."""
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        return f"{value!r} has no IP number"
+        return f"{value!r} has no IP address"
     if not port.isdigit() or not 0 < int(port) < 65_536:
-        return f"{value!r} has no port from 1 to 65535"
+        return f"{value!r} has no port between 1 and 65535"
     return ""
--- a/src/finchway/_signals.py
+++ b/src/finchway/_signals.py
@@ -1,4 +1,4 @@
-"""The signals that a process acts on, from its start to its very end."""
+"""Handlers for the stop and reload signals of a process."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 import trio
 
-STOPS = (signal.SIGTERM, signal.SIGINT)
-RELOADS = (signal.SIGHUP,)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+RELOAD_SIGNALS = (signal.SIGHUP,)
 
 
 class SignalWatch:
-    """Calls back on a request to stop or to reload, within a running trio loop.
+    """Context manager that runs callbacks on stop and reload signals, inside the trio loop.
 
-    Whoever leaves it is ending, and signals are passed over from then on: a second request to stop
-    must not end a process by the signal while it is on its way out. Handlers are only ever
-    replaced, so there is no moment at which a signal has its default action.
+    On exit the signals are set to be ignored, not restored: a second SIGTERM must not kill a
+    process that is already shutting down. Handlers are only ever replaced, so the default action
+    of a signal is never in effect.
 
         with SignalWatch(stop.set, reload):
             await stop.wait()
@@ -26,19 +26,19 @@
 
     def __init__(self, on_stop: Callable[[], object], on_reload: Callable[[], object]) -> None:
         self._token = trio.lowlevel.current_trio_token()
-        self._callbacks = dict.fromkeys(STOPS, on_stop)
-        self._callbacks |= dict.fromkeys(RELOADS, on_reload)
+        self._callbacks = dict.fromkeys(STOP_SIGNALS, on_stop)
+        self._callbacks |= dict.fromkeys(RELOAD_SIGNALS, on_reload)
 
     def __enter__(self) -> SignalWatch:
         for number in self._callbacks:
-            signal.signal(number, self._note)
+            signal.signal(number, self._dispatch)
         return self
 
     def __exit__(self, *_: object) -> None:
-        # The interpreter gives Python's own handlers up while it ends, but leaves this one.
+        # At interpreter shutdown Python-level handlers are reset, but SIG_IGN is kept.
         for number in self._callbacks:
             signal.signal(number, signal.SIG_IGN)
 
-    def _note(self, number: int, _: FrameType | None) -> None:
+    def _dispatch(self, number: int, _: FrameType | None) -> None:
         with suppress(trio.RunFinishedError):
             self._token.run_sync_soon(self._callbacks[signal.Signals(number)], idempotent=True)
--- a/src/finchway/cli/__init__.py
+++ b/src/finchway/cli/__init__.py
@@ -1,7 +1,7 @@
-"""`finchway`: the operators' tool.
+"""`finchway`: the command-line tool for operators.
 
-Exit codes: 0 done, 1 failed, 2 wrong arguments or input, 4 conflict, 5 not found, 6 history gone,
-7 not allowed, 8 no quorum or not in time (whether a change took effect is then not known).
+Exit codes: 0 success, 1 failure, 2 invalid arguments or input, 4 conflict, 5 not found, 6 history
+compacted, 7 not allowed, 8 no quorum or timeout (whether a change took effect is unknown).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from finchway.cli._commands import COMMANDS, Context
 from finchway.exceptions import ConflictError, FinchwayError
 
-_HELP = """finchway: drives a finchway deployment
+_HELP_TEMPLATE = """finchway: drives a finchway deployment
 
 usage: finchway COMMAND [ARGUMENTS] [OPTIONS]
 
@@ -30,7 +30,7 @@
 """
 
 
-def _define(values: flags.FlagValues) -> None:
+def _define_flags(values: flags.FlagValues) -> None:
     environment = os.environ
     flags.DEFINE_string(
         "api",
@@ -73,54 +73,54 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Run one command and exit with its code."""
+    """Run one command and exit with its exit code."""
     sys.exit(run(sys.argv[1:] if arguments is None else arguments))
 
 
 def run(arguments: list[str]) -> int:
-    """Run one command; returns the exit code."""
+    """Run one command and return its exit code."""
     values = flags.FlagValues()
-    _define(values)
+    _define_flags(values)
     values.set_gnu_getopt(True)
     try:
-        words = values(["finchway", *arguments])[1:]
+        positional = values(["finchway", *arguments])[1:]
     except flags.Error as error:
         print(f"finchway: {error}", file=sys.stderr)
         return 2
-    if values["help"].value or not words:
-        print(_help(values))
+    if values["help"].value or not positional:
+        print(_help_text(values))
         return 0 if values["help"].value else 2
-    command = COMMANDS.get(words[0])
+    command = COMMANDS.get(positional[0])
     if command is None:
         known = ", ".join(COMMANDS)
-        print(f"finchway: no command {words[0]!r}; there are {known}", file=sys.stderr)
+        print(f"finchway: no command {positional[0]!r}; there are {known}", file=sys.stderr)
         return 2
     try:
-        command(Context(values), words[1:])
+        command(Context(values), positional[1:])
     except FinchwayError as error:
-        return _report(error)
+        return _print_error(error)
     except KeyboardInterrupt:
         return 130
     return 0
 
 
-def _report(error: FinchwayError) -> int:
+def _print_error(error: FinchwayError) -> int:
     print(f"finchway: {error}", file=sys.stderr)
     if isinstance(error, ConflictError) and error.winner:
         winner = msgspec.json.format(error.winner, indent=2).decode()
-        print(f"this stands:\n{winner}", file=sys.stderr)
+        print(f"current resource:\n{winner}", file=sys.stderr)
     if error.hint:
         print(f"hint: {error.hint}", file=sys.stderr)
     return error.exit_code
 
 
-def _help(values: flags.FlagValues) -> str:
+def _help_text(values: flags.FlagValues) -> str:
     commands = "\n".join(
         f"  {name:<11} {(function.__doc__ or '').strip()}" for name, function in COMMANDS.items()
     )
     names = [name for name in values if len(name) > 1]
     options = "\n".join(f"  --{name:<11} {values[name].help}" for name in sorted(names))
-    return _HELP.format(commands=commands, options=options)
+    return _HELP_TEMPLATE.format(commands=commands, options=options)
 
 
 if __name__ == "__main__":
--- a/src/finchway/cli/_client.py
+++ b/src/finchway/cli/_client.py
@@ -1,8 +1,8 @@
-"""The tool's side of the resource API, over httpcore.
+"""HTTP client of the resource API, built on httpcore.
 
-A change carries a change id. When an answer is lost, the same change is sent again, to the next
-address if there is one, and an accepted change gets its first answer. A replica that asks for rest
-gets none of its calls until that is over.
+Calls that fail are retried at the next address. Changes carry an idempotency key (the change id):
+a retried change that was already accepted gets its first response again. A replica that sent
+`Retry-After` gets no calls until that time has passed.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 from finchway.pushback import RestBook, read_asked
 
 _TIMEOUTS = {"connect": 2.0, "read": 10.0, "write": 5.0, "pool": 2.0}
-_TRIES = 12
-_RETRY_S = 0.5
-# Seconds for which the tool leaves a replica alone at most, whatever it asks for: somebody waits.
-_LONGEST_REST_S = 10.0
-_FAILED = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+_MAX_ATTEMPTS = 12
+_RETRY_DELAY_S = 0.5
+# Upper bound on a replica's Retry-After, because an operator is waiting.
+_MAX_BACKOFF_S = 10.0
+_CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 class ApiClient:
-    """Calls the resource API at the first address that answers."""
+    """Calls the resource API, with retries over several addresses."""
 
     def __init__(self, addresses: list[str], credential: str, ca_file: str = "") -> None:
         self._addresses = addresses
         self._scheme = "https" if ca_file else "http"
         context = ssl.create_default_context(cafile=ca_file) if ca_file else None
         self._pool = httpcore.ConnectionPool(ssl_context=context)
-        self._rests = RestBook(random.Random())
+        self._backoffs = RestBook(random.Random())
         self._headers = [(b"authorization", f"Bearer {credential}".encode())]
 
     def list(self, kind: str) -> Any:
-        """Return the resources of a kind and the revision."""
+        """Return the resources of a kind and the current revision."""
         return self._call("GET", f"/v1/resources/{kind}")
 
     def get(self, kind: str, name: str) -> Any:
@@ -58,7 +58,7 @@
         return self._call("GET", f"/v1/resources/{kind}/{name}")
 
     def put(self, kind: str, name: str, spec: Any, expected: int | None = None) -> Any:
-        """Create or replace a resource; safe to repeat, since it carries a change id."""
+        """Create or replace a resource; retries are safe because of the change id."""
         body = {"spec": spec, "expected": expected, "change_id": uuid.uuid4().hex}
         return self._call("PUT", f"/v1/resources/{kind}/{name}", body)
 
@@ -70,15 +70,15 @@
         return self._call("DELETE", f"/v1/resources/{kind}/{name}?{urlencode(query)}")
 
     def read(self, path: str, query: dict[str, str] | None = None) -> Any:
-        """Return the decoded answer of another path."""
+        """Return the decoded response of a GET request for any path."""
         return self._call("GET", f"{path}?{urlencode(query)}" if query else path)
 
     def post(self, path: str, body: Any) -> Any:
-        """Send a change that is not a resource."""
+        """Send a POST request for a change that is not a resource."""
         return self._call("POST", path, body)
 
     def watch(self, since: int, kind: str = "") -> Iterator[Any]:
-        """Yield the lines of a watch until it ends; raises `GoneError` after compaction."""
+        """Yield the decoded lines of a watch; raises `GoneError` if the history was compacted."""
         path = f"/v1/watch?{urlencode({'since': since, 'kind': kind})}"
         for address in self._addresses:
             try:
@@ -86,7 +86,7 @@
                 return
             except httpcore.ConnectError:
                 continue
-        raise UnavailableError(f"no API answers at {', '.join(self._addresses)}")
+        raise UnavailableError(f"cannot connect to the API at {', '.join(self._addresses)}")
 
     def _stream(self, address: str, path: str) -> Iterator[Any]:
         url = f"{self._scheme}://{address}{path}"
@@ -95,7 +95,7 @@
         ) as response:
             if response.status != 200:
                 response.read()
-                raise as_error(response.status, response.content)
+                raise error_from_response(response.status, response.content)
             pending = b""
             for chunk in response.iter_stream():
                 *lines, pending = (pending + chunk).split(b"\n")
@@ -107,9 +107,9 @@
 
     def _call(self, method: str, path: str, body: Any = None) -> Any:
         content = msgspec.json.encode(body) if body is not None else b""
-        last: FinchwayError = UnavailableError("no API address is set", "set --api")
-        for number in range(_TRIES):
-            address = self._next_address(number)
+        last_error: FinchwayError = UnavailableError("no API address is set", "set --api")
+        for attempt in range(_MAX_ATTEMPTS):
+            address = self._next_address(attempt)
             try:
                 response = self._pool.request(
                     method,
@@ -118,40 +118,40 @@
                     content=content,
                     extensions={"timeout": _TIMEOUTS},
                 )
-            except _FAILED as error:
-                last = UnavailableError(f"{address}: {error or type(error).__name__}")
+            except _CONNECTION_ERRORS as error:
+                last_error = UnavailableError(f"{address}: {error or type(error).__name__}")
             else:
                 if response.status < 300:
                     return msgspec.json.decode(response.content)
-                error = as_error(response.status, response.content)
+                error = error_from_response(response.status, response.content)
                 if not isinstance(error, UnavailableError):
                     raise error
-                last = error
-                self._note_asked(address, response)
-            if number + 1 < _TRIES:
-                time.sleep(_RETRY_S if number + 1 >= len(self._addresses) else 0)
-        raise last
-
-    def _next_address(self, number: int) -> str:
-        """Return the next address in turn that does not rest, once there is one."""
-        turn = [
-            self._addresses[(number + k) % len(self._addresses)]
+                last_error = error
+                self._apply_pushback(address, response)
+            if attempt + 1 < _MAX_ATTEMPTS:
+                time.sleep(_RETRY_DELAY_S if attempt + 1 >= len(self._addresses) else 0)
+        raise last_error
+
+    def _next_address(self, attempt: int) -> str:
+        """Return the next address that is not in backoff; sleeps if all of them are."""
+        candidates = [
+            self._addresses[(attempt + k) % len(self._addresses)]
             for k in range(len(self._addresses))
         ]
         now = time.monotonic()
-        address = min(turn, key=lambda address: self._rests.left(address, now))
-        time.sleep(self._rests.left(address, now))
+        address = min(candidates, key=lambda address: self._backoffs.left(address, now))
+        time.sleep(self._backoffs.left(address, now))
         return address
 
-    def _note_asked(self, address: str, response: httpcore.Response) -> None:
-        """Take in the rest that a replica asks for, up to what a person at a prompt waits."""
+    def _apply_pushback(self, address: str, response: httpcore.Response) -> None:
+        """Record the backoff that a replica requested, capped at `_MAX_BACKOFF_S`."""
         headers = [(name.lower(), value) for name, value in response.headers]
-        asked = read_asked(response.status, headers, b"", b"", time.time())
-        self._rests.ask(address, min(asked.rest_s, _LONGEST_REST_S), time.monotonic())
+        pushback = read_asked(response.status, headers, b"", b"", time.time())
+        self._backoffs.ask(address, min(pushback.rest_s, _MAX_BACKOFF_S), time.monotonic())
 
 
-def as_error(status: int, content: bytes) -> FinchwayError:
-    """Turn a problem of the API into the exception that it stands for."""
+def error_from_response(status: int, content: bytes) -> FinchwayError:
+    """Convert an error response of the API to the matching exception."""
     try:
         problem = msgspec.json.decode(content)
         detail = problem.get("detail") or problem.get("title", "")
--- a/src/finchway/cli/_commands.py
+++ b/src/finchway/cli/_commands.py
@@ -1,7 +1,8 @@
 """The commands of `finchway`, one function each.
 
-A command takes its arguments and the options that it declares; it returns nothing and raises an
-error of `finchway.exceptions`, whose `exit_code` the tool exits with.
+A command takes the context and its positional arguments. It raises an exception of
+`finchway.exceptions` on failure, and the tool exits with the exception's `exit_code`. The doc
+strings of the commands are printed by `finchway --help`.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class Context:
-    """What every command is given: the API, the printer and the options."""
+    """The API client, printer and options of one invocation."""
 
     def __init__(self, options: flags.FlagValues) -> None:
         self._options = options
@@ -46,7 +47,7 @@
 
     @property
     def api(self) -> ApiClient:
-        """A client of the resource API."""
+        """A new client of the resource API; raises `InputError` for invalid addresses."""
         addresses = [a.strip() for a in self._options["api"].value.split(",") if a.strip()]
         findings = [
             Finding(f"--api[{index}]", problem)
@@ -82,9 +83,9 @@
     for draft in sorted(drafts, key=lambda d: _APPLY_ORDER[d.kind]):
         answer = api.put(draft.kind, draft.name, msgspec.to_builtins(draft.spec))
         revision = max(revision, answer["revision"])
-        what = f"{draft.kind}/{draft.name}"
-        text = f"{what} generation {answer['generation']} revision {answer['revision']}"
-        context.printer.line({"resource": what, **_numbers(answer)}, text)
+        resource_id = f"{draft.kind}/{draft.name}"
+        text = f"{resource_id} generation {answer['generation']} revision {answer['revision']}"
+        context.printer.line({"resource": resource_id, **_generation_and_revision(answer)}, text)
     if context.option("wait"):
         _wait_in_force(context, api, revision)
 
@@ -114,7 +115,7 @@
         raise _usage("delete KIND NAME")
     answer = context.api.delete(*arguments, expected=context.option("expected"))
     text = f"{'/'.join(arguments)} deleted at revision {answer['revision']}"
-    context.printer.line(_numbers(answer), text)
+    context.printer.line(_generation_and_revision(answer), text)
     if context.option("wait"):
         _wait_in_force(context, context.api, answer["revision"])
 
@@ -128,17 +129,17 @@
     since = context.option("since")
     if since is None:
         since = api.list(kind or "service")["revision"]
-    shown = -1
+    last_in_force = -1
     for line in api.watch(since, kind):
         if "resource" in line:
             resource = line["resource"]
-            what = f"{resource['kind']}/{resource['name']}"
+            resource_id = f"{resource['kind']}/{resource['name']}"
             status = status_text(resource.get("status"))
-            text = f"{line['revision']:>6} {line['operation']:<6} {what} {status}"
+            text = f"{line['revision']:>6} {line['operation']:<6} {resource_id} {status}"
             context.printer.line(line, text)
-        elif "in_force" in line and line["in_force"] != shown:
-            shown = line["in_force"]
-            context.printer.line(line, f"{shown:>6} in force at every serving entry")
+        elif "in_force" in line and line["in_force"] != last_in_force:
+            last_in_force = line["in_force"]
+            context.printer.line(line, f"{last_in_force:>6} in force at every serving entry")
 
 
 def drain(context: Context, arguments: list[str]) -> None:
@@ -148,7 +149,9 @@
     api = context.api
     name = drain_name(arguments[0])
     answer = api.put("drain", name, {"target": arguments[0]})
-    context.printer.line(_numbers(answer), f"drain/{name} accepted at {answer['revision']}")
+    context.printer.line(
+        _generation_and_revision(answer), f"drain/{name} accepted at {answer['revision']}"
+    )
     if context.option("wait"):
         _wait_done(context, api, "drain", name)
 
@@ -176,7 +179,9 @@
     api = context.api
     name = f"{service}.{source}.{target}"
     answer = api.put("move", name, spec)
-    context.printer.line(_numbers(answer), f"move/{name} accepted at {answer['revision']}")
+    context.printer.line(
+        _generation_and_revision(answer), f"move/{name} accepted at {answer['revision']}"
+    )
     if context.option("wait"):
         _wait_done(context, api, "move", name)
 
@@ -188,7 +193,7 @@
     if context.printer.as_json:
         context.printer.value({"entries": entries, "replicas": replicas})
         return
-    print(f"revision {entries['revision']}, in force at {_in_force(entries)}")
+    print(f"revision {entries['revision']}, in force at {_revision_in_force(entries)}")
     rows = [
         [e["instance"], e["state"], str(e["revision"]), str(e["in_flight"]), e["peer"]]
         for e in entries["entries"]
@@ -220,8 +225,8 @@
     match arguments:
         case ["list"]:
             _print_replicas(context, context.api.read("/v1/replicas"))
-        case ["add" | "remove" as what, name]:
-            _print_replicas(context, context.api.post("/v1/replicas", {what: name}))
+        case ["add" | "remove" as action, name]:
+            _print_replicas(context, context.api.post("/v1/replicas", {action: name}))
         case ["replace", name]:
             api = context.api
             api.post("/v1/replicas", {"remove": name})
@@ -239,11 +244,9 @@
     problem = check_address(address)
     if problem:
         raise InputError([Finding("PEER_ADDRESS", problem)], "arguments")
-    started = start_cluster(Path(folder), name, address, expected, context.option("credential"))
-    text = (
-        f"cluster {started.cluster}\noperator {started.operator}\ncredential {started.credential}"
-    )
-    context.printer.line(started, text)
+    result = start_cluster(Path(folder), name, address, expected, context.option("credential"))
+    text = f"cluster {result.cluster}\noperator {result.operator}\ncredential {result.credential}"
+    context.printer.line(result, text)
 
 
 def credential(context: Context, arguments: list[str]) -> None:
@@ -281,7 +284,7 @@
     return decoded if isinstance(decoded, list) else [decoded]
 
 
-def _numbers(answer: dict[str, Any]) -> dict[str, int]:
+def _generation_and_revision(answer: dict[str, Any]) -> dict[str, int]:
     return {"generation": answer["generation"], "revision": answer["revision"]}
 
 
@@ -289,7 +292,7 @@
     deadline = time.monotonic() + context.option("timeout")
     while True:
         entries = api.read("/v1/entries")
-        if _in_force(entries) >= revision:
+        if _revision_in_force(entries) >= revision:
             context.printer.line({"in_force": revision}, f"revision {revision} is in force")
             return
         if time.monotonic() > deadline:
@@ -298,7 +301,7 @@
         time.sleep(_POLL_S)
 
 
-def _in_force(entries: dict[str, Any]) -> int:
+def _revision_in_force(entries: dict[str, Any]) -> int:
     serving = [e["revision"] for e in entries["entries"] if e["state"] not in ("silent", "gone")]
     return min(serving, default=entries["revision"])
 
@@ -364,22 +367,22 @@
     context.printer.line(answer, text)
 
 
-def explain(context: Context, words: list[str]) -> None:
+def explain(context: Context, arguments: list[str]) -> None:
     """explain ID FILE...: tell the story of one request from log files."""
-    if len(words) < 2:
+    if len(arguments) < 2:
         raise _usage("explain ID FILE...")
-    for line in explain_request(words[0], [Path(word) for word in words[1:]]):
+    for line in explain_request(arguments[0], [Path(path) for path in arguments[1:]]):
         print(line)
 
 
 def _wait_done(context: Context, api: ApiClient, kind: str, name: str) -> None:
     deadline = time.monotonic() + context.option("timeout")
-    shown = ""
+    last_shown = ""
     while True:
         resource = api.get(kind, name)
         text = status_text(resource.get("status"))
-        if text != shown:
-            shown = text
+        if text != last_shown:
+            last_shown = text
             context.printer.line(resource.get("status"), f"{kind}/{name} {text}")
         if (resource.get("status") or {}).get("phase") == "done":
             return
@@ -405,8 +408,8 @@
     rows = []
     for item in answer["replicas"]:
         vote = "voter" if item["id"] in voters else "learner"
-        numbers = [str(item.get(key, "-")) for key in ("term", "commit", "revision")]
-        rows.append([item["id"], vote, item["role"], *numbers])
+        columns = [str(item.get(key, "-")) for key in ("term", "commit", "revision")]
+        rows.append([item["id"], vote, item["role"], *columns])
     for member in answer["asking"]:
         rows.append([_member_id(member), "asking", "-", "-", "-", "-"])
     headings = ["REPLICA", "VOTE", "ROLE", "TERM", "COMMIT", "REVISION"]
--- a/src/finchway/cli/_explain.py
+++ b/src/finchway/cli/_explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the log files of several processes."""
+"""The timeline of one request, assembled from the log files of several processes."""
 
 from __future__ import annotations
 
@@ -9,41 +9,45 @@
 
 from finchway.exceptions import Finding, InputError, NotFoundError
 
-BEFORE_S = 10.0
-AFTER_S = 2.0
-BELIEFS_SHOWN = 20
-# Events that show what a process knew, and how new that was, when it decided.
-CONTEXT = ("belief", "feed", "process")
+CONTEXT_BEFORE_S = 10.0
+CONTEXT_AFTER_S = 2.0
+MAX_OTHER_CONTEXT_LINES = 20
+# Events that show the state a process based its decisions on, and the age of that state.
+CONTEXT_EVENTS = ("belief", "feed", "process")
 
 
 def explain(request_id: str, paths: list[Path]) -> list[str]:
-    """Return the lines of one request in order, with the beliefs that its processes then held.
+    """Return the log lines of one request in order, with the state its processes had at the time.
 
-    Text before the first brace of a line is passed over, so that collected logs can be read too.
-    Raises `NotFoundError` if no file tells of the request, `InputError` for unreadable files.
+    Text before the first brace of a line is skipped, so that logs with a collector's prefix can be
+    read. Raises `NotFoundError` if no file mentions the request, `InputError` for unreadable files.
     """
     lines = _read(paths)
-    own = [line for line in lines if line.get("id") == request_id]
-    if not own:
+    request_lines = [line for line in lines if line.get("id") == request_id]
+    if not request_lines:
         raise NotFoundError(
-            f"no line tells of request {request_id!r}",
-            "give the files of every gateway; a line may have been dropped: see "
+            f"no log line mentions request {request_id!r}",
+            "pass the log files of every gateway; lines may have been dropped: see "
             "finchway_gateway_state{name=log_lines_dropped}",
         )
-    first, last = own[0]["t"], own[-1]["t"]
-    instances = {line["instance"] for line in own}
-    upstreams = {f"upstream/{line['upstream']}" for line in own if "upstream" in line}
-    beliefs = [
+    first, last = request_lines[0]["t"], request_lines[-1]["t"]
+    instances = {line["instance"] for line in request_lines}
+    upstreams = {f"upstream/{line['upstream']}" for line in request_lines if "upstream" in line}
+    context = [
         line
         for line in lines
-        if line.get("event") in CONTEXT
+        if line.get("event") in CONTEXT_EVENTS
         and line["instance"] in instances
-        and first - BEFORE_S <= line["t"] <= last + AFTER_S
+        and first - CONTEXT_BEFORE_S <= line["t"] <= last + CONTEXT_AFTER_S
     ]
-    about = [line for line in beliefs if line.get("subject") in upstreams]
-    others = [line for line in beliefs if line not in about][-BELIEFS_SHOWN:]
-    story = sorted([*own, *about, *others], key=lambda line: line["t"])
-    return [_describe(line, first) for line in story]
+    upstream_context = [line for line in context if line.get("subject") in upstreams]
+    other_context = [line for line in context if line not in upstream_context][
+        -MAX_OTHER_CONTEXT_LINES:
+    ]
+    timeline = sorted(
+        [*request_lines, *upstream_context, *other_context], key=lambda line: line["t"]
+    )
+    return [_describe(line, first) for line in timeline]
 
 
 def _read(paths: list[Path]) -> list[dict[str, Any]]:
@@ -69,12 +73,12 @@
         line = msgspec.json.decode(raw[start:])
     except msgspec.DecodeError:
         return None
-    known = isinstance(line, dict) and "event" in line and "instance" in line
-    return line if known and isinstance(line.get("t"), float | int) else None
+    is_event = isinstance(line, dict) and "event" in line and "instance" in line
+    return line if is_event and isinstance(line.get("t"), float | int) else None
 
 
-def _describe(line: dict[str, Any], first: float) -> str:
-    offset = f"{(line['t'] - first) * 1000:+9.1f} ms"
+def _describe(line: dict[str, Any], started_at: float) -> str:
+    offset = f"{(line['t'] - started_at) * 1000:+9.1f} ms"
     hidden = ("t", "instance", "event", "id")
-    facts = " ".join(f"{name}={value}" for name, value in line.items() if name not in hidden)
-    return f"{offset}  {line['instance']:<16} {line['event']:<13} {facts}"
+    fields = " ".join(f"{name}={value}" for name, value in line.items() if name not in hidden)
+    return f"{offset}  {line['instance']:<16} {line['event']:<13} {fields}"
--- a/src/finchway/cli/_output.py
+++ b/src/finchway/cli/_output.py
@@ -1,4 +1,4 @@
-"""How the tool prints: tables for people, JSON for programs."""
+"""Output of the command-line tool: tables, or JSON for programs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Printer:
-    """Prints in one of two forms."""
+    """Prints values as text or as JSON."""
 
     def __init__(self, as_json: bool) -> None:
         self._as_json = as_json
@@ -20,15 +20,15 @@
         return self._as_json
 
     def value(self, value: Any) -> None:
-        """Print a whole value as indented JSON."""
+        """Print a value as indented JSON."""
         print(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
 
     def line(self, value: Any, text: str) -> None:
-        """Print one line: the value as JSON, or the text."""
+        """Print one line: the value as compact JSON, or the text."""
         print(msgspec.json.encode(value).decode() if self._as_json else text, flush=True)
 
     def table(self, value: Any, headings: list[str], rows: list[list[str]]) -> None:
-        """Print rows under headings, or the value as JSON."""
+        """Print a table, or the value as JSON."""
         if self._as_json:
             self.value(value)
             return
@@ -36,7 +36,7 @@
 
 
 def table(headings: list[str], rows: list[list[str]]) -> str:
-    """Lay out rows under headings, each column as wide as its widest cell."""
+    """Format rows as a table; each column is as wide as its widest cell."""
     cells = [headings, *rows]
     widths = [max(len(row[i]) for row in cells) for i in range(len(headings))]
     lines = ["  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)) for row in cells]
@@ -44,18 +44,18 @@
 
 
 def resource_row(resource: dict[str, Any]) -> list[str]:
-    """Describe a resource in one row: name, generation, revision, status, main fields."""
+    """Return a resource's table row: name, generation, revision, status and spec."""
     return [
         resource["name"],
         str(resource["generation"]),
         str(resource["revision"]),
         status_text(resource.get("status")),
-        summary(resource["spec"]),
+        spec_summary(resource["spec"]),
     ]
 
 
 def status_text(status: dict[str, Any] | None) -> str:
-    """Describe the produced state in a few words."""
+    """Format the status of a resource, such as `running 40% (reason)`."""
     if not status:
         return "-"
     parts = [status.get("phase", "pending")]
@@ -68,8 +68,8 @@
     return " ".join(parts)
 
 
-def summary(spec: dict[str, Any], width: int = 70) -> str:
-    """Describe a spec in one line."""
+def spec_summary(spec: dict[str, Any], width: int = 70) -> str:
+    """Format a spec in one line, truncated to the width."""
     parts = []
     for name, value in spec.items():
         if isinstance(value, list):
@@ -83,8 +83,8 @@
 
 
 def event_line(event: dict[str, Any]) -> str:
-    """Describe an event of the time line in one line."""
+    """Format an event of the timeline in one line."""
     seconds, millis = divmod(event["time_ms"], 1000)
     stamp = time.strftime("%H:%M:%S", time.gmtime(seconds))
-    head = f"{event['clock']:>8} {stamp}.{millis:03d} {event['instance']:<10}"
-    return f"{head} {event['kind']:<18} {event['subject']} {event['detail']}".rstrip()
+    prefix = f"{event['clock']:>8} {stamp}.{millis:03d} {event['instance']:<10}"
+    return f"{prefix} {event['kind']:<18} {event['subject']} {event['detail']}".rstrip()
--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -1,4 +1,4 @@
-"""`finchwayd`: the composition root that wires the parts of one process and runs them."""
+"""`finchwayd`: assembles the components of one process and runs them."""
 
 from __future__ import annotations
 
@@ -62,12 +62,12 @@
 )
 
 _LOG = logging.getLogger(__name__)
-# Seconds that the resource API's calls have to end in a planned stop; watches never end.
-_API_STOP_S = 1.0
+# Calls still open after this time are cancelled at shutdown; watches never finish on their own.
+_API_STOP_TIMEOUT_S = 1.0
 
 
 class Process:
-    """One `finchwayd` process: its link, its roles, its planned stop."""
+    """One `finchwayd` process: its peer link, its roles and its graceful shutdown."""
 
     def __init__(
         self,
@@ -93,13 +93,13 @@
         self._stop = trio.Event()
 
     async def run(self) -> None:
-        """Run until a signal asks for a planned stop, and carry that out."""
+        """Run until a stop signal arrives, then shut down gracefully."""
         with SignalWatch(self._stop.set, self._reload):
             async with trio.open_nursery() as nursery:
                 await self._start(nursery)
                 await self._stop.wait()
                 self._decisions.write(ProcessChanged(change="stopping"))
-                await self._leave()
+                await self._shut_down()
                 self._decisions.write(ProcessChanged(change="stop"))
                 nursery.cancel_scope.cancel()
 
@@ -120,7 +120,7 @@
         self._surface.reload()
         self._decisions.write(ProcessChanged(change="reload"))
 
-    async def _leave(self) -> None:
+    async def _shut_down(self) -> None:
         self._timeline.record(EventKind.STOPPING, self._settings.instance)
         if self._entry is not None:
             self._entry_server.leave()
@@ -134,7 +134,7 @@
                     while self._control.runner.is_leader:
                         await trio.sleep(0.02)
         if self._api_server is not None:
-            with trio.move_on_after(_API_STOP_S):
+            with trio.move_on_after(_API_STOP_TIMEOUT_S):
                 await self._api_server.stop()
         self._timeline.record(EventKind.STOPPED, self._settings.instance)
         await trio.sleep(0.05)
@@ -142,8 +142,8 @@
     async def _handle(self, body: AnyBody, sender: str) -> AnyBody | None:
         if isinstance(body, FetchEvents):
             events = self._timeline.since(body.since, body.limit)
-            following = events[-1].sequence if events else min(body.since, self._timeline.last)
-            return Events(instance=self._settings.instance, events=events, next=following)
+            next_sequence = events[-1].sequence if events else min(body.since, self._timeline.last)
+            return Events(instance=self._settings.instance, events=events, next=next_sequence)
         to_entry = isinstance(body, FetchChanges | Heartbeat) and self._control is None
         if self._entry is not None and to_entry:
             return await self._entry.session.handle(body, sender)
@@ -161,7 +161,7 @@
             runner,
             self._link,
             self._timeline,
-            self._lease(),
+            self._lease_timing(),
             LoanTiming(ttl=settings.loan_s, margin=settings.clock_margin_s),
             platform_source(platform) if platform else None,
             settings.bounds.voters if settings.open_joining else 0,
@@ -187,9 +187,9 @@
         await nursery.start(self._api_server.run)
 
     async def _open_replica(self) -> ReplicaRunner:
-        """Open the data folder; without sound data the replica joins the others under a new life.
+        """Open the data folder; a replica without usable data joins under a new incarnation.
 
-        Raises `NotBootstrappedError` if the folder is empty and no other replica is set.
+        Raises `NotBootstrappedError` if the folder is empty and no other replica is configured.
         """
         settings = self._settings
         folder = settings.data_folder
@@ -201,8 +201,10 @@
         except StorageDamagedError as error:
             if not others:
                 raise
-            aside = quarantine(folder)
-            _LOG.error("%s; it is kept as %s, and this replica joins anew", error, aside)
+            quarantined = quarantine(folder)
+            _LOG.error(
+                "%s; moved to %s, rejoining the cluster as a new replica", error, quarantined
+            )
         founders = dict(settings.founders)
         if settings.founding and settings.instance in founders:
             return self._make_runner(found_cluster(folder, settings.instance, founders))
@@ -236,12 +238,17 @@
                     reply = await self._link.request(peer, Join(member=member), timeout=1.0)
                     return reply.cluster
                 except FinchwayError as error:
-                    _LOG.info("waiting for a replica to join: %s", error)
+                    _LOG.info("cannot join the cluster yet, retrying: %s", error)
             await trio.sleep(0.2)
 
     async def _start_entry(self, nursery: trio.Nursery) -> None:
         self._entry = EntryRole(
-            self._settings, self._link, self._timeline, self._metrics, self._rng, self._lease()
+            self._settings,
+            self._link,
+            self._timeline,
+            self._metrics,
+            self._rng,
+            self._lease_timing(),
         )
         nursery.start_soon(self._entry.run)
         await self._entry.started.wait()
@@ -282,7 +289,7 @@
             config.keyfile = str(settings.tls_key)
         return AppServer(address, app, config, self._metrics.count_connection_failure)
 
-    def _lease(self) -> LeaseTiming:
+    def _lease_timing(self) -> LeaseTiming:
         settings = self._settings
         return LeaseTiming(
             interval=settings.heartbeat_s, lease=settings.lease_s, margin=settings.clock_margin_s
@@ -290,7 +297,7 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Run `finchwayd`; exits with 2 if the settings are wrong."""
+    """Run `finchwayd`; exits with status 2 if the settings are invalid."""
     values = flags.FlagValues()
     define_flags(values)
     argv = ["finchwayd", *(sys.argv[1:] if arguments is None else arguments)]
@@ -299,9 +306,9 @@
         print(values.main_module_help() or values.get_help())
         return
     try:
-        left = values(argv)[1:]
-        if left:
-            raise flags.Error(f"unexpected argument {left[0]!r}")
+        unexpected = values(argv)[1:]
+        if unexpected:
+            raise flags.Error(f"unexpected argument {unexpected[0]!r}")
         settings = read_settings(values, os.environ)
         trio.run(run_process, settings, clock=BootClock())
     except flags.Error as error:
@@ -315,18 +322,18 @@
 
 
 async def run_process(settings: Settings, surface: Surface | None = None) -> None:
-    """Run one process until it is told to stop; raises the `FinchwayError` that ended it."""
+    """Run one process until a stop signal arrives; raises the `FinchwayError` that ended it."""
     writer = LogWriter()
     configure_logs(settings.instance, settings.log_level, settings.log_json, writer)
     try:
         await Process(settings, surface, writer).run()
     except* FinchwayError as group:
-        raise _first(group) from None
+        raise _first_leaf(group) from None
     finally:
         writer.finish()
 
 
-def _first(group: BaseException) -> BaseException:
+def _first_leaf(group: BaseException) -> BaseException:
     while isinstance(group, BaseExceptionGroup):
         group = group.exceptions[0]
     return group
--- a/src/finchway/exceptions.py
+++ b/src/finchway/exceptions.py
@@ -1,8 +1,7 @@
-"""The tree of errors that finchway raises.
+"""The exceptions that finchway raises.
 
-Every error carries what a person needs to mend the call: the message says what is wrong, `hint`
-says what to do next, and errors that come from checking input hold a list of findings, each with
-the place it was found at.
+The message of an error says what is wrong and `hint` what to do about it. Validation errors have a
+list of findings, each with its place in the input.
 """
 
 from __future__ import annotations
@@ -11,9 +10,9 @@
 
 
 class Finding(Struct, frozen=True):
-    """One thing that is wrong with some input, and where.
+    """One validation error and its place.
 
-    `place` is a path a person can follow, such as `resources.yaml[2].spec.slots`.
+    `place` is a readable path, such as `resources.yaml[2].spec.slots`.
     """
 
     place: str
@@ -26,7 +25,7 @@
 
 
 class FinchwayError(Exception):
-    """The root of all errors that finchway raises on purpose."""
+    """The base class of all exceptions that finchway raises."""
 
     exit_code = 1
 
@@ -37,7 +36,7 @@
 
 
 class InputError(FinchwayError):
-    """Input that was checked and found wanting; `findings` lists every fault with its place."""
+    """Input failed validation; `findings` lists every error with its place."""
 
     exit_code = 2
 
@@ -48,7 +47,7 @@
 
 
 class SettingsError(InputError):
-    """The settings of a process are wrong; the process must not start."""
+    """The settings of a process are invalid; it must not start."""
 
 
 class ResourceError(InputError):
@@ -56,48 +55,48 @@
 
 
 class ConflictError(FinchwayError):
-    """Another change was accepted first; `winner` is the encoded resource that stands."""
+    """Another change was accepted first; `winner` is the encoded current resource."""
 
     exit_code = 4
 
     def __init__(self, message: str, winner: bytes = b"") -> None:
-        super().__init__(message, "read the resource again and repeat the change on top of it")
+        super().__init__(message, "read the resource again and reapply the change to it")
         self.winner = winner
 
 
 class NotFoundError(FinchwayError):
-    """The named thing does not exist."""
+    """The requested object does not exist."""
 
     exit_code = 5
 
 
 class GoneError(FinchwayError):
-    """A watch asked for history that has been compacted; restart from `oldest`."""
+    """A watch requested history that has been compacted; restart from `oldest`."""
 
     exit_code = 6
 
     def __init__(self, oldest: int) -> None:
         super().__init__(
             f"history before revision {oldest} has been compacted",
-            "list the resources again and watch from the revision of that answer",
+            "list the resources again and watch from the revision in the response",
         )
         self.oldest = oldest
 
 
 class DeniedError(FinchwayError):
-    """The credential is missing, unknown, or lacks the role that the call needs."""
+    """The credential is missing, unknown, or lacks the role required for the call."""
 
     exit_code = 7
 
 
 class UnavailableError(FinchwayError):
-    """No quorum could confirm the call in time; whether it took effect is not known."""
+    """No quorum confirmed the call in time; whether it took effect is unknown."""
 
     exit_code = 8
 
 
 class NotLeaderError(UnavailableError):
-    """This replica does not lead; `leader` names the replica that does, if it is known."""
+    """This replica is not the leader; `leader` is the name of the leader, if known."""
 
     def __init__(self, leader: str | None) -> None:
         super().__init__(f"not the leader; the leader is {leader or 'unknown'}")
@@ -105,16 +104,16 @@
 
 
 class TransportError(FinchwayError):
-    """A message could not be sent, was malformed, or got no answer in time."""
+    """A message could not be sent, was malformed, or was not answered in time."""
 
 
 class StorageError(FinchwayError):
-    """The data folder could not be read or written; the replica must not acknowledge."""
+    """The data folder could not be read or written; the replica must not acknowledge writes."""
 
 
 class StorageDamagedError(StorageError):
-    """Synced records are damaged; this replica must not vote with what it holds."""
+    """Synced records are corrupt; the replica must not vote based on them."""
 
 
 class NotBootstrappedError(StorageError):
-    """The data folder is empty and nobody has said that it may start a new cluster."""
+    """The data folder is empty and the replica may not start a new cluster."""
--- a/src/finchway/surface.py
+++ b/src/finchway/surface.py
@@ -1,7 +1,7 @@
-"""What a deployment may replace of finchway's outer side: header names and small calls.
+"""Extension point for a deployment's own interfaces: header names, discovery and HTTP servers.
 
-finchway's own names are the defaults. An adapter for another platform subclasses `Surface`; it
-translates, and decides nothing.
+An adapter for another platform subclasses `Surface`. It only translates between the platform's
+interfaces and finchway's; policy stays in finchway.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 
 
 class Surface:
-    """The outer side of a process."""
+    """The external interfaces of a process; the defaults are finchway's own."""
 
     header_names = HeaderNames()
 
     def seeds(self) -> list[str]:
-        """Return peer addresses of control replicas to begin with; may change over time."""
+        """Return seed peer addresses of control replicas; may change over time."""
         return []
 
     def zones(self) -> dict[str, str]:
-        """Return the region of each availability zone; may change over time."""
+        """Map availability zones to their regions; may change over time."""
         return {}
 
     def reload(self) -> None:
-        """Read the settings anew, if they are kept somewhere that changes."""
+        """Reload settings that can change at run time."""
 
     def control_servers(self, service: SteeringService) -> list[HttpServer]:
-        """Return the servers that a control process runs beside its own."""
+        """Return additional HTTP servers for a control process."""
         return []
 
     def gateway_servers(self, role: GatewayRole) -> list[HttpServer]:
-        """Return the servers that a gateway runs beside its own."""
+        """Return additional HTTP servers for a gateway."""
         return []
 
 
--- a/src/finchwayd/__init__.py
+++ b/src/finchwayd/__init__.py
@@ -1,8 +1,7 @@
-"""The start of a `finchwayd` process, before anything that takes time to import.
+"""Entry point of `finchwayd`, which ignores SIGHUP while the rest of finchway is imported.
 
-By default, word of new settings (SIGHUP) ends a process, and importing finchway takes a part of a
-second. Until the process watches for that signal, it is passed over: settings are read only after
-the imports, so nothing is missed.
+The default action of SIGHUP (reload settings) would kill the process during the imports. Ignoring
+it until the handler is installed loses nothing, because settings are read after the imports.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Run `finchwayd`; exits with 2 if the settings are wrong."""
+    """Run `finchwayd`; exits with status 2 if the settings are invalid."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from finchway.daemon import main as run
 
--- a/src/finchwayd/__main__.py
+++ b/src/finchwayd/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m finchwayd`: the same as the command `finchwayd`."""
+"""Runs the `finchwayd` command as `python -m finchwayd`."""
 
 from finchwayd import main
 
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -7,8 +7,8 @@
 import trio
 
 from finchway._clock import (
-    FOLLOWED_AFTER_S,
-    LONGEST_SLEEP_S,
+    JUMP_ADOPTED_AFTER_S,
+    MAX_SLEEP_S,
     BootClock,
     WallClock,
     read_since_boot,
@@ -78,7 +78,7 @@
                 await trio.sleep_forever()
             return time.monotonic() - started
 
-    assert play(check) < 0.05 + LONGEST_SLEEP_S + 0.2
+    assert play(check) < 0.05 + MAX_SLEEP_S + 0.2
 
 
 def test_a_replica_that_wakes_tells_how_old_its_state_is():
@@ -194,8 +194,8 @@
     times.pass_by(5.0, -jump)
     assert clock.now_ms() == pytest.approx(1_796_000_020_000)
     # Another one soon after begins anew.
-    times.pass_by(FOLLOWED_AFTER_S - 10.0, jump)
-    assert clock.now() == pytest.approx(1_796_000_010.0 + FOLLOWED_AFTER_S)
+    times.pass_by(JUMP_ADOPTED_AFTER_S - 10.0, jump)
+    assert clock.now() == pytest.approx(1_796_000_010.0 + JUMP_ADOPTED_AFTER_S)
 
 
 def test_a_jump_that_lasts_is_followed_and_slewing_always():
@@ -203,7 +203,7 @@
     clock = times.clock()
     times.pass_by(10.0, -3_600.0)
     clock.now()
-    times.pass_by(FOLLOWED_AFTER_S + 1.0)
+    times.pass_by(JUMP_ADOPTED_AFTER_S + 1.0)
     assert clock.now() == pytest.approx(times.day)
     for _ in range(20):
         times.pass_by(60.0, 0.5)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from finchway._settings import TOOL_VARIABLES, Settings, define_flags, read_settings
+from finchway._settings import CLI_VARIABLES, Settings, define_flags, read_settings
 from finchway.daemon import main
 from finchway.exceptions import SettingsError
 
@@ -54,7 +54,7 @@
 
 
 def test_variables_of_the_tool_are_no_fault():
-    tool = dict.fromkeys(TOOL_VARIABLES, "x")
+    tool = dict.fromkeys(CLI_VARIABLES, "x")
     assert read([], {**GOOD, **tool}).instance == "e1"
 
 
