--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -1,4 +1,4 @@
-"""Puts the adapter's folder on the path, as `python3 platform/run.py` does."""
+"""Adds the platform adapter to the import path, as `python3 platform/run.py` does."""
 
 import sys
 from pathlib import Path
--- a/tests/adapter/documents.py
+++ b/tests/adapter/documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, as its pages describe them."""
+"""Builders for the platform's documents."""
 
 import copy
 
@@ -99,7 +99,7 @@
 
 
 def patch(*entries, remove=()):
-    """Return the document of a change."""
+    """Return a configuration patch."""
     removed = [{"name": name, "version": version} for name, version in remove]
     return {
         "upsert": {"resources": copy.deepcopy(list(entries))},
@@ -107,7 +107,7 @@
     }
 
 
-def beat(address="127.0.0.1:1", state="ready", sequence=1, **fields):
+def heartbeat(address="127.0.0.1:1", state="ready", sequence=1, **fields):
     """Return a worker's heartbeat."""
     return {
         "address": address,
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -1,4 +1,4 @@
-"""The adapter's translation, with every finding and its place."""
+"""Conversion of the platform's documents, and the findings for invalid ones."""
 
 import msgspec
 import pytest
@@ -16,7 +16,7 @@
 from tests.adapter import documents
 
 
-def load(tmp_path, document):
+def load_document(tmp_path, document):
     path = tmp_path / "settings.json"
     path.write_bytes(msgspec.json.encode(document))
     return load_settings(path)
@@ -27,18 +27,18 @@
 
 
 @pytest.mark.parametrize(("text", "seconds"), [("1500ms", 1.5), ("2.5s", 2.5), ("0ms", 0.0)])
-def test_times_are_read(text, seconds):
+def test_durations_are_parsed(text, seconds):
     assert to_seconds(text) == pytest.approx(seconds)
 
 
 @pytest.mark.parametrize("text", ["5", "5m", "", 5, None, "-1s", "1s "])
-def test_other_times_are_refused(text):
+def test_invalid_durations_are_rejected(text):
     with pytest.raises(ValueError, match="is not a time"):
         to_seconds(text)
 
 
-def test_settings_of_an_edge_become_a_gateway(tmp_path):
-    settings = load(tmp_path, documents.settings())
+def test_edge_settings_convert_to_a_gateway(tmp_path):
+    settings = load_document(tmp_path, documents.settings())
     product = settings.product_settings()
     assert product.roles == ("gateway",)
     assert product.gateway_address == "10.1.0.34:8548"
@@ -49,17 +49,17 @@
     assert product.bounds.apply_within == 2.0
 
 
-def test_settings_of_a_core_become_a_founder_only_at_the_first_start(tmp_path):
+def test_core_settings_convert_to_a_founder_only_at_bootstrap(tmp_path):
     document = documents.settings(ip="10.1.0.37", edge=False)
-    product = load(tmp_path, document).product_settings()
+    product = load_document(tmp_path, document).product_settings()
     assert product.roles == ("control",)
     assert product.instance == "10.1.0.37"
     assert dict(product.founders)["10.2.0.36"] == "10.2.0.36:7540"
     document["self"]["bootstrap"] = False
-    assert load(tmp_path, document).product_settings().founders == ()
+    assert load_document(tmp_path, document).product_settings().founders == ()
 
 
-def test_all_faults_of_settings_are_reported_together_with_their_place(tmp_path):
+def test_all_settings_errors_are_reported_with_their_place(tmp_path):
     document = documents.settings()
     document["network"]["listen"]["front"] = "nowhere"
     document["network"]["seeds"][1] = "10.2.0.36"
@@ -67,7 +67,7 @@
     document["terms"]["bounds"]["max_shift"] = "much"
     del document["self"]["ip"]
     with pytest.raises(SettingsError) as caught:
-        load(tmp_path, document)
+        load_document(tmp_path, document)
     places = {finding.place for finding in caught.value.findings}
     assert places == {
         "network.listen.front",
@@ -78,17 +78,17 @@
     }
 
 
-def test_settings_that_are_no_json_name_their_file(tmp_path):
+def test_settings_error_for_invalid_json_names_the_file(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text("{")
     with pytest.raises(SettingsError, match=r"settings\.json"):
         load_settings(path)
 
 
-def test_a_change_is_read_whole():
-    split = [{"service": "huvo11a", "weight": 90}, {"service": "kafi81c", "weight": 10}]
+def test_patch_converts_to_items():
+    backends = [{"service": "huvo11a", "weight": 90}, {"service": "kafi81c", "weight": 10}]
     entries = (
-        documents.route(service=None, backends=split, type="unsafe"),
+        documents.route(service=None, backends=backends, type="unsafe"),
         documents.service(),
         documents.service("kafi81c"),
         documents.LIMITS,
@@ -106,7 +106,7 @@
     assert items[-1].spec is None
 
 
-def test_what_is_read_back_is_what_was_sent():
+def test_items_are_returned_as_they_were_sent():
     entries = [documents.service(), documents.route(), documents.LIMITS]
     items = items_from_patch(encode(documents.patch(*entries)))
     catalog = Catalog(HeldItem(1, item) for item in items)
@@ -127,45 +127,45 @@
         (encode({"upsert": {"resources": {"a": 1}}}), "upsert.resources"),
     ],
 )
-def test_a_malformed_change_is_refused_with_its_place(body, place):
+def test_malformed_patch_is_rejected_with_its_place(body, place):
     with pytest.raises(ResourceError) as caught:
         items_from_patch(body)
     assert place in {finding.place for finding in caught.value.findings}
 
 
-def test_a_heartbeat_is_read():
-    beat = documents.beat(state="draining", sequence=4)
-    beat["status"]["cold_remaining"] = "2500ms"
-    registration = registration_from_beat("i-1", encode(beat))
+def test_heartbeat_converts_to_a_registration():
+    heartbeat = documents.heartbeat(state="draining", sequence=4)
+    heartbeat["status"]["cold_remaining"] = "2500ms"
+    registration = registration_from_beat("i-1", encode(heartbeat))
     assert registration.state is UpstreamState.DRAINING
     assert (registration.sequence, registration.slots, registration.cold_for) == (4, 6, 2.5)
 
 
 @pytest.mark.parametrize("missing", ["address", "info", "status"])
-def test_an_incomplete_heartbeat_is_refused(missing):
-    beat = documents.beat()
-    del beat[missing]
+def test_incomplete_heartbeat_is_rejected(missing):
+    heartbeat = documents.heartbeat()
+    del heartbeat[missing]
     with pytest.raises(ResourceError, match=missing):
-        registration_from_beat("i-1", encode(beat))
+        registration_from_beat("i-1", encode(heartbeat))
 
 
-def test_the_start_of_a_worker_is_read_and_tells_its_lives_apart():
-    document = documents.beat("10.0.0.1:1", "ready", 3)
+def test_start_time_distinguishes_incarnations_of_a_worker():
+    document = documents.heartbeat("10.0.0.1:1", "ready", 3)
     assert registration_from_beat("i-1", encode(document)).born == 0
     registration = registration_from_beat("i-1", encode(document | {"born": 1_787_833_522_241}))
     assert registration.life == "i-1@1787833522241"
 
 
 @pytest.mark.parametrize("born", [True, 1.5, "1787833522241", -1, 2**60, None, [1]])
-def test_a_start_that_is_no_whole_number_of_milliseconds_is_refused(born):
-    document = documents.beat("10.0.0.1:1", "ready", 3) | {"born": born}
+def test_start_time_must_be_a_non_negative_integer(born):
+    document = documents.heartbeat("10.0.0.1:1", "ready", 3) | {"born": born}
     with pytest.raises(ResourceError, match="born"):
         registration_from_beat("i-1", encode(document))
     with pytest.raises(ResourceError, match="born"):
         born_from_deregistration(encode({"born": born}))
 
 
-def test_a_deregistration_may_tell_which_life_ends():
+def test_deregistration_may_include_the_start_time():
     assert born_from_deregistration(b"") == 0
     assert born_from_deregistration(b"{}") == 0
     assert born_from_deregistration(encode({"born": 5})) == 5
--- a/tests/adapter/test_words_of_other_writers.py
+++ b/tests/adapter/test_malformed_documents.py
@@ -1,10 +1,6 @@
-"""Words that another writer sends: of any type, any size, any depth.
+"""Malformed documents: wrong types, huge numbers, deep nesting.
 
-Heartbeats and calls that no program of ours would send ended calls without an answer, or were taken
-and could not be passed on: 100,000 nested brackets raised `RecursionError`, `slots` of 10**30 was
-kept and the feed to gateways could not be encoded any more, and an operator's call whose `remove`
-is a list raised `AttributeError`. Only the typed error may come out, and what comes in must be fit
-to be passed on.
+Conversion may raise only `ResourceError`, and what it accepts must be encodable for the feed.
 """
 
 import copy
@@ -20,19 +16,20 @@
 from finchway.registry import check_registration
 from tests.adapter import documents
 
-NESTED = b"[" * 100_000
-ODD = st.recursive(
+DEEPLY_NESTED = b"[" * 100_000
+ARBITRARY_VALUES = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
     | st.sampled_from([10**30, -1, 0, 2**63, 1.5, 1e308, "", "x", "²", "9" * 5_000, "1e9s"])
     | st.text(max_size=20),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=9), inner),
+    lambda children: st.lists(children, max_size=3)
+    | st.dictionaries(st.text(max_size=9), children),
     max_leaves=6,
 )
 
 
-def places(document, path=()):
+def value_paths(document, path=()):
     """Return the paths of all values in a document."""
     found = [path]
     entries = ()
@@ -41,48 +38,50 @@
     elif isinstance(document, list):
         entries = enumerate(document)
     for key, value in entries:
-        found += places(value, (*path, key))
+        found += value_paths(value, (*path, key))
     return found
 
 
-def changed(document, path, value):
-    """Return a copy with another value at a place, or without it."""
+def with_value(document, path, value):
+    """Return a copy with the value at a path replaced, or removed if it is `KeyError`."""
     if not path:
         return value
-    made = copy.deepcopy(document)
-    holder = made
+    result = copy.deepcopy(document)
+    parent = result
     for key in path[:-1]:
-        holder = holder[key]
-    if value is KeyError and isinstance(holder, dict):
-        del holder[path[-1]]
+        parent = parent[key]
+    if value is KeyError and isinstance(parent, dict):
+        del parent[path[-1]]
     else:
-        holder[path[-1]] = None if value is KeyError else value
-    return made
+        parent[path[-1]] = None if value is KeyError else value
+    return result
 
 
 def mutations(document):
-    """Return a strategy of the document with one or two places changed."""
-    change = st.tuples(st.sampled_from(places(document)[1:]), ODD | st.just(KeyError))
+    """Return a strategy for copies of the document with one or two values replaced."""
+    change = st.tuples(
+        st.sampled_from(value_paths(document)[1:]), ARBITRARY_VALUES | st.just(KeyError)
+    )
 
     def apply(changes):
-        made = document
+        result = document
         for path, value in changes:
             try:
-                made = changed(made, path, value)
+                result = with_value(result, path, value)
             except (KeyError, IndexError, TypeError):
                 continue
-        return made
+        return result
 
     return st.lists(change, min_size=1, max_size=2).map(apply)
 
 
-BEAT = documents.beat("10.0.0.1:80", "ready", 3) | {"born": 1_787_833_522_241}
+HEARTBEAT = documents.heartbeat("10.0.0.1:80", "ready", 3) | {"born": 1_787_833_522_241}
 PATCH = documents.patch(documents.service(), documents.route(), documents.LIMITS)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(mutations(BEAT))
-def test_a_heartbeat_is_refused_or_fit_to_be_passed_on(document):
+@given(mutations(HEARTBEAT))
+def test_heartbeat_is_rejected_or_can_be_encoded(document):
     try:
         registration = registration_from_beat("i-1", msgspec.json.encode(document))
     except ResourceError:
@@ -93,7 +92,7 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(mutations(PATCH))
-def test_a_change_is_refused_or_fit_to_be_passed_on(document):
+def test_patch_is_rejected_or_can_be_encoded(document):
     try:
         items = items_from_patch(msgspec.json.encode(document))
     except ResourceError:
@@ -102,8 +101,8 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.binary(max_size=60) | ODD.map(msgspec.json.encode))
-def test_bytes_of_any_kind_are_refused_or_read(data):
+@given(st.binary(max_size=60) | ARBITRARY_VALUES.map(msgspec.json.encode))
+def test_arbitrary_bytes_are_rejected_or_read(data):
     for read in (
         lambda: registration_from_beat("i-1", data),
         lambda: items_from_patch(data),
@@ -115,8 +114,8 @@
             continue
 
 
-def test_what_cannot_be_read_is_refused():
-    for data in (NESTED, b'{"a":' * 50_000, b"\xff", b"null", b"3"):
+def test_malformed_bodies_are_rejected():
+    for data in (DEEPLY_NESTED, b'{"a":' * 50_000, b"\xff", b"null", b"3"):
         with pytest.raises(ResourceError):
             registration_from_beat("i-1", data)
         with pytest.raises(ResourceError):
@@ -146,8 +145,8 @@
         (("address",), "10.0.0.1:99999"),
     ],
 )
-def test_a_heartbeat_with_a_field_out_of_bounds_is_refused_by_its_name(field, value):
-    data = msgspec.json.encode(changed(BEAT, field, value))
+def test_heartbeat_with_invalid_field_is_rejected_naming_the_field(field, value):
+    data = msgspec.json.encode(with_value(HEARTBEAT, field, value))
     with pytest.raises(ResourceError) as caught:
         registration = registration_from_beat("i-1", data)
         findings = check_registration(registration)
--- a/tests/adapter/test_processes.py
+++ b/tests/adapter/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback addresses: five replicas that form from three seeds, two gateways."""
+"""Real processes on loopback addresses: five replicas started from three seeds, two gateways."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 ROOT = Path(__file__).resolve().parents[2]
 CORES = [f"127.0.1.{n}" for n in range(1, 6)]
 EDGES = ["127.0.2.1", "127.0.2.2"]
-PATIENCE_S = 40.0
-ID = b"x-finchway-request-id"
+STARTUP_AND_TEST_TIMEOUT_S = 40.0
+REQUEST_ID = b"x-finchway-request-id"
 SIGNATURE = b"x-finchway-response-signature"
 
 pytestmark = pytest.mark.xdist_group("adapter")
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free on loopback, for all addresses of a deployment alike."""
+    """Return free ports, which all loopback addresses of a deployment use alike."""
     sockets = [socket.socket() for _ in range(count)]
     try:
         for opened in sockets:
@@ -98,7 +98,7 @@
             self.kill(ip)
 
     async def call(self, ip, name, method, path, document=None, headers=()):
-        """Make one call; returns status, headers and body, or None without an answer."""
+        """Send one request; returns status, headers and body, or None if there was no response."""
         body = b"" if document is None else msgspec.json.encode(document)
         url = f"http://{ip}:{self.ports[name]}{path}"
         timeouts = {"connect": 1.0, "read": 4.0, "write": 4.0, "pool": 4.0}
@@ -115,8 +115,8 @@
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError):
             return None
 
-    async def order(self, path, document=None, method="POST", cores=None):
-        """Repeat an operator's call on one replica after the other until it is taken."""
+    async def call_control(self, path, document=None, method="POST", cores=None):
+        """Send an operator's call to one replica after another until the status is below 500."""
         answer = None
         replicas = itertools.cycle(cores or CORES)
         while answer is None or answer[0] >= 500:
@@ -124,20 +124,20 @@
             await trio.sleep(0.05)
         return answer
 
-    async def ask(self, ip, path="/lepu270/1", key=b"k"):
-        """Send a caller's request to a gateway."""
+    async def send_request(self, ip, path="/lepu270/1", key=b"k"):
+        """Send a client request to a gateway."""
         number = str(next(self.numbers)).encode()
         headers = [
             (b"Host", b"jepu9.example"),
-            (ID, number),
+            (REQUEST_ID, number),
             (b"X-Finchway-Affinity-Key", key),
             (b"X-Finchway-Deadline-Ms", b"2000"),
         ]
         return await self.call(ip, "front", "GET", path, None, headers)
 
-    async def ask_until(self, ip, status, path="/lepu270/1"):
+    async def send_request_until(self, ip, status, path="/lepu270/1"):
         while True:
-            answer = await self.ask(ip, path)
+            answer = await self.send_request(ip, path)
             if answer is not None and answer[0] == status:
                 return answer
             await trio.sleep(0.05)
@@ -152,7 +152,7 @@
 
 
 class Worker:
-    """A worker that answers every request, and registers when told to."""
+    """A worker that answers every request and sends heartbeats on request."""
 
     def __init__(self, deployment: Deployment, instance: str) -> None:
         self.deployment = deployment
@@ -161,7 +161,7 @@
         self.requests: list[bytes] = []
         self.address = ""
         self.status = b"200 OK"
-        self.words = b""
+        self.pushback_headers = b""
 
     async def run(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -175,23 +175,23 @@
             head += (
                 SIGNATURE
                 + b": s\r\n"
-                + self.words
-                + ID
+                + self.pushback_headers
+                + REQUEST_ID
                 + b": "
-                + header_of(request, ID)
+                + header_of(request, REQUEST_ID)
                 + b"\r\n\r\nok"
             )
             await stream.send_all(head)
 
-    async def beat(self, state: str = "ready", ip: str = CORES[0]):
+    async def send_heartbeat(self, state: str = "ready", ip: str = CORES[0]):
         self.sequence += 1
-        document = documents.beat(self.address, state, self.sequence)
+        document = documents.heartbeat(self.address, state, self.sequence)
         path = f"/-/Instances.Heartbeat/{self.instance}"
         return await self.deployment.call(ip, "control", "POST", path, document)
 
-    async def beat_forever(self) -> None:
+    async def send_heartbeats(self) -> None:
         for ip in itertools.cycle(CORES):
-            await self.beat(ip=ip)
+            await self.send_heartbeat(ip=ip)
             await trio.sleep(0.3)
 
 
@@ -199,14 +199,14 @@
 async def deployment(folder: Path):
     """Run five replicas and two gateways, started in a shuffled order, with one route."""
     subject = Deployment(folder)
-    order = [*CORES, *EDGES]
-    random.Random(len(str(folder))).shuffle(order)
+    addresses = [*CORES, *EDGES]
+    random.Random(len(str(folder))).shuffle(addresses)
     try:
-        with trio.fail_after(PATIENCE_S):
-            for ip in order:
+        with trio.fail_after(STARTUP_AND_TEST_TIMEOUT_S):
+            for ip in addresses:
                 subject.start(ip)
             entries = (documents.service(), documents.route(), documents.LIMITS)
-            status, _, _ = await subject.order("/-/Config.Patch", documents.patch(*entries))
+            status, _, _ = await subject.call_control("/-/Config.Patch", documents.patch(*entries))
             assert status == 200
             yield subject
     finally:
@@ -214,7 +214,7 @@
 
 
 def run(test, folder):
-    """Run a test on trio; on failure the logs are shown."""
+    """Run a test on trio; on failure, print the logs."""
     try:
         trio.run(test, folder)
     except BaseException:
@@ -223,27 +223,27 @@
         raise
 
 
-def test_the_whole_path(tmp_path):
+def test_request_path_directory_readiness_metrics_and_logs(tmp_path):
     async def check(folder):
         async with deployment(folder) as subject, trio.open_nursery() as nursery:
             worker = Worker(subject, "i-1")
             await nursery.start(worker.run)
-            nursery.start_soon(worker.beat_forever)
+            nursery.start_soon(worker.send_heartbeats)
             for ip in EDGES:
-                status, headers, body = await subject.ask_until(ip, 200)
+                status, headers, body = await subject.send_request_until(ip, 200)
                 assert body == b"ok"
                 assert (SIGNATURE, b"s") in [(name.lower(), value) for name, value in headers]
             while len(await subject.resolve()) < 2:
                 await trio.sleep(0.05)
             ready = await subject.call(EDGES[0], "readiness", "GET", "/-/readiness")
             assert ready[0] == 200
-            figures = (await subject.call(EDGES[0], "metrics", "GET", "/metrics"))[2].decode()
-            assert "finchway_gateway_requests_total{" in figures
-            assert "finchway_gateway_latency_seconds_bucket{" in figures
-            assert "finchway_gateway_upstreams{" in figures
-            figures = (await subject.call(CORES[0], "metrics", "GET", "/metrics"))[2].decode()
-            assert 'finchway_replica_state{instance="127.0.1.1",name="voters"} 5' in figures
-            assert "finchway_replica_heartbeats_total{" in figures
+            metrics = (await subject.call(EDGES[0], "metrics", "GET", "/metrics"))[2].decode()
+            assert "finchway_gateway_requests_total{" in metrics
+            assert "finchway_gateway_latency_seconds_bucket{" in metrics
+            assert "finchway_gateway_upstreams{" in metrics
+            metrics = (await subject.call(CORES[0], "metrics", "GET", "/metrics"))[2].decode()
+            assert 'finchway_replica_state{instance="127.0.1.1",name="voters"} 5' in metrics
+            assert "finchway_replica_heartbeats_total{" in metrics
             log = "".join((subject.folder / f"log-{ip}").read_text() for ip in CORES)
             assert '"event":"order","order":"change","subject":' in log
             nursery.cancel_scope.cancel()
@@ -251,30 +251,30 @@
     run(check, tmp_path)
 
 
-def test_an_acknowledged_change_survives_the_loss_of_two_disks(tmp_path):
+def test_acknowledged_change_survives_the_loss_of_two_disks(tmp_path):
     async def check(folder):
         async with deployment(folder) as subject:
             change = documents.patch(documents.route(version=9, timeout="700ms"))
-            status, _, _ = await subject.order("/-/Config.Patch", change)
+            status, _, _ = await subject.call_control("/-/Config.Patch", change)
             assert status == 200
             for ip in CORES[:2]:
                 subject.wipe(ip)
             for ip in CORES[:2]:
                 subject.start(ip, first=False)
-            status, _, body = await subject.order("/-/Config.Get", method="GET")
+            status, _, body = await subject.call_control("/-/Config.Get", method="GET")
             assert change["upsert"]["resources"][0] in msgspec.json.decode(body)["resources"]
             for ip in CORES[2:4]:
-                await until_voters(subject, ip, 5)
+                await wait_until_voters(subject, ip, 5)
                 subject.kill(ip)
                 subject.start(ip, first=False)
-            status, _, body = await subject.order("/-/Config.Get", method="GET")
+            status, _, body = await subject.call_control("/-/Config.Get", method="GET")
             assert change["upsert"]["resources"][0] in msgspec.json.decode(body)["resources"]
 
     run(check, tmp_path)
 
 
-async def until_voters(subject, ip, count):
-    """Wait until a replica's log says how many voters there are."""
+async def wait_until_voters(subject, ip, count):
+    """Wait until a replica logs that the cluster has this many voters and no learners."""
     while True:
         lines = (subject.folder / f"log-{ip}").read_text().splitlines()
         changes = [line for line in lines if "replicas-changed" in line]
@@ -284,22 +284,22 @@
         await trio.sleep(0.05)
 
 
-def test_a_leaving_worker_and_an_evacuated_zone_get_nothing_new(tmp_path):
+def test_deregistered_worker_and_evacuated_zone_get_no_requests(tmp_path):
     async def check(folder):
         async with deployment(folder) as subject, trio.open_nursery() as nursery:
             worker = Worker(subject, "i-1")
             await nursery.start(worker.run)
-            nursery.start_soon(worker.beat_forever)
-            await subject.ask_until(EDGES[0], 200)
-            assert (await subject.order("/-/Evacuations.Start/col-a"))[0] == 200
-            await subject.ask_until(EDGES[0], 503)
-            assert (await subject.order("/-/Evacuations.End/col-a"))[0] == 200
-            await subject.ask_until(EDGES[0], 200)
-            assert (await subject.order("/-/Instances.Deregister/i-1"))[0] == 200
-            await subject.ask_until(EDGES[0], 503)
+            nursery.start_soon(worker.send_heartbeats)
+            await subject.send_request_until(EDGES[0], 200)
+            assert (await subject.call_control("/-/Evacuations.Start/col-a"))[0] == 200
+            await subject.send_request_until(EDGES[0], 503)
+            assert (await subject.call_control("/-/Evacuations.End/col-a"))[0] == 200
+            await subject.send_request_until(EDGES[0], 200)
+            assert (await subject.call_control("/-/Instances.Deregister/i-1"))[0] == 200
+            await subject.send_request_until(EDGES[0], 503)
             seen = len(worker.requests)
             for _ in range(5):
-                assert (await subject.ask(EDGES[0]))[0] == 503
+                assert (await subject.send_request(EDGES[0]))[0] == 503
             assert len(worker.requests) == seen
             nursery.cancel_scope.cancel()
 
@@ -307,63 +307,61 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "words"),
+    ("status", "pushback_headers"),
     [
         (b"503 Unavailable", b"X-Finchway-Not-Executed: 1\r\nRetry-After: 30\r\n"),
         (b"200 OK", b"Server-Leaving: 1\r\n"),
     ],
 )
-def test_a_worker_that_asks_for_rest_or_leaves_gets_nothing_more_from_whom_it_told(
-    tmp_path, status, words
+def test_backoff_and_leaving_headers_of_a_worker_are_honoured_by_the_gateway_that_got_them(
+    tmp_path, status, pushback_headers
 ):
-    """The words of the platform reach what the product keeps to."""
-
     async def check(folder):
         async with deployment(folder) as subject, trio.open_nursery() as nursery:
             worker = Worker(subject, "i-1")
             await nursery.start(worker.run)
-            nursery.start_soon(worker.beat_forever)
+            nursery.start_soon(worker.send_heartbeats)
             for ip in EDGES:
-                await subject.ask_until(ip, 200)
-            worker.status, worker.words = status, words
-            await subject.ask(EDGES[0])
+                await subject.send_request_until(ip, 200)
+            worker.status, worker.pushback_headers = status, pushback_headers
+            await subject.send_request(EDGES[0])
             reached = len(worker.requests)
             for _ in range(5):
-                answer = await subject.ask(EDGES[0])
+                answer = await subject.send_request(EDGES[0])
                 assert answer[0] == 503
             assert len(worker.requests) == reached
-            # The other gateway has been told nothing.
-            await subject.ask(EDGES[1])
+            # The other gateway has not received the header.
+            await subject.send_request(EDGES[1])
             assert len(worker.requests) == reached + 1
-            figures = (await subject.call(EDGES[0], "metrics", "GET", "/metrics"))[2].decode()
-            assert "finchway_gateway_asked_total{" in figures
+            metrics = (await subject.call(EDGES[0], "metrics", "GET", "/metrics"))[2].decode()
+            assert "finchway_gateway_asked_total{" in metrics
             nursery.cancel_scope.cancel()
 
     run(check, tmp_path)
 
 
-def test_invalid_changes_are_refused_and_resends_are_taken(tmp_path):
+def test_invalid_patches_are_rejected_and_resent_patches_accepted(tmp_path):
     async def check(folder):
         async with deployment(folder) as subject:
             bad = documents.patch(documents.route(version=9, service="nobody"))
-            assert (await subject.order("/-/Config.Patch", bad))[0] == 400
+            assert (await subject.call_control("/-/Config.Patch", bad))[0] == 400
             other = documents.patch(documents.route(version=7, timeout="900ms"))
-            assert (await subject.order("/-/Config.Patch", other))[0] == 409
+            assert (await subject.call_control("/-/Config.Patch", other))[0] == 409
             again = documents.patch(documents.route())
             for ip in CORES:
-                answer = await subject.order("/-/Config.Patch", again, cores=[ip])
+                answer = await subject.call_control("/-/Config.Patch", again, cores=[ip])
                 assert answer[0] == 200
 
     run(check, tmp_path)
 
 
-def test_a_planned_stop_withdraws_first_and_ends_cleanly(tmp_path):
+def test_graceful_stop_leaves_the_directory_first_and_exits_with_0(tmp_path):
     async def check(folder):
         async with deployment(folder) as subject, trio.open_nursery() as nursery:
             worker = Worker(subject, "i-1")
             await nursery.start(worker.run)
-            nursery.start_soon(worker.beat_forever)
-            await subject.ask_until(EDGES[0], 200)
+            nursery.start_soon(worker.send_heartbeats)
+            await subject.send_request_until(EDGES[0], 200)
             leaving = subject.running[EDGES[0]]
             leaving.send_signal(signal.SIGTERM)
             address = f"{EDGES[0]}:{subject.ports['front']}"
@@ -371,58 +369,60 @@
                 await trio.sleep(0.02)
             ready = await subject.call(EDGES[0], "readiness", "GET", "/-/readiness")
             assert ready[0] == 503
-            assert (await subject.ask(EDGES[0]))[0] == 200
+            assert (await subject.send_request(EDGES[0]))[0] == 200
             assert await trio.to_thread.run_sync(leaving.wait) == 0
             nursery.cancel_scope.cancel()
 
     run(check, tmp_path)
 
 
-def test_everything_killed_at_once_comes_back_with_what_was_acknowledged(tmp_path):
+def test_acknowledged_changes_survive_killing_all_processes(tmp_path):
     async def check(folder):
         async with deployment(folder) as subject, trio.open_nursery() as nursery:
             worker = Worker(subject, "i-1")
             await nursery.start(worker.run)
-            nursery.start_soon(worker.beat_forever)
+            nursery.start_soon(worker.send_heartbeats)
             change = documents.patch(documents.route(version=9, path_prefix="/other/"))
-            assert (await subject.order("/-/Config.Patch", change))[0] == 200
-            assert (await subject.order("/-/Evacuations.Start/kdy-a"))[0] == 200
+            assert (await subject.call_control("/-/Config.Patch", change))[0] == 200
+            assert (await subject.call_control("/-/Evacuations.Start/kdy-a"))[0] == 200
             for ip in [*CORES, *EDGES]:
                 subject.kill(ip)
             for ip in [*EDGES, *CORES]:
                 subject.start(ip, first=False)
             for ip in EDGES:
-                await subject.ask_until(ip, 200, "/other/1")
-                assert (await subject.ask(ip))[0] == 404
+                await subject.send_request_until(ip, 200, "/other/1")
+                assert (await subject.send_request(ip))[0] == 404
             nursery.cancel_scope.cancel()
 
     run(check, tmp_path)
 
 
-def test_gateways_follow_replicas_to_other_machines(tmp_path):
+def test_gateways_find_replicas_on_replacement_machines(tmp_path):
     async def check(folder):
         async with deployment(folder) as subject, trio.open_nursery() as nursery:
             worker = Worker(subject, "i-1")
             await nursery.start(worker.run)
-            nursery.start_soon(worker.beat_forever)
-            await subject.ask_until(EDGES[0], 200)
+            nursery.start_soon(worker.send_heartbeats)
+            await subject.send_request_until(EDGES[0], 200)
             newcomer = "127.0.1.9"
             subject.kill(CORES[0])
             subject.start(newcomer, first=False, seeds=CORES[1:4])
-            await until_voters(subject, newcomer, 5)
+            await wait_until_voters(subject, newcomer, 5)
             for ip in CORES[1:3]:
                 subject.kill(ip)
             change = documents.patch(documents.route(version=9, path_prefix="/other/"))
-            taken = await subject.order("/-/Config.Patch", change, cores=[newcomer, *CORES[3:]])
+            taken = await subject.call_control(
+                "/-/Config.Patch", change, cores=[newcomer, *CORES[3:]]
+            )
             assert taken[0] == 200
-            await subject.ask_until(EDGES[0], 404)
-            await subject.ask_until(EDGES[0], 200, "/other/1")
+            await subject.send_request_until(EDGES[0], 404)
+            await subject.send_request_until(EDGES[0], 200, "/other/1")
             nursery.cancel_scope.cancel()
 
     run(check, tmp_path)
 
 
-def test_wrong_settings_end_the_process_with_code_2(tmp_path):
+def test_invalid_settings_exit_with_status_2(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text("{}")
     ended = subprocess.run(
@@ -436,16 +436,16 @@
     assert "self.serves" in ended.stderr
 
 
-def test_word_of_new_settings_does_not_end_a_process_that_is_still_importing(tmp_path):
+def test_reload_signal_during_imports_does_not_end_the_process(tmp_path):
     deployment = Deployment(tmp_path)
     try:
         deployment.start(EDGES[0])
         process = deployment.running[EDGES[0]]
         while not ignores(process.pid, signal.SIGHUP):
-            assert process.poll() is None, "it ended before it took care of the signal"
+            assert process.poll() is None, "process ended before it ignored SIGHUP"
             assert b"started" not in (tmp_path / f"log-{EDGES[0]}").read_bytes()
         process.send_signal(signal.SIGHUP)
         while b"started" not in (tmp_path / f"log-{EDGES[0]}").read_bytes():
-            assert process.poll() is None, "the signal ended it"
+            assert process.poll() is None, "process ended by SIGHUP"
     finally:
         deployment.stop_all()
--- a/tests/process/test_cli.py
+++ b/tests/process/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' tool against real processes: output, waiting, errors and exit codes."""
+"""The command-line tool against real processes: output, waiting, errors and exit codes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def finchway(deployment, capsys):
-    """Run the tool in this process; returns (exit code, output, errors)."""
+    """Run the tool in this process; returns exit code, standard output and standard error."""
 
     def call(*arguments: str, credential: str = CREDENTIAL):
         api = ",".join(deployment.api.values())
@@ -48,7 +48,7 @@
     assert finchway("get", "region", "far")[0] == 5
 
 
-def test_errors_show_the_findings_and_have_their_codes(finchway, tmp_path):
+def test_errors_show_findings_and_set_the_exit_code(finchway, tmp_path):
     path = tmp_path / "bad.yaml"
     path.write_text("- {kind: zone, name: z, spec: {regoin: x}}\n- {kind: what, name: y}\n")
     code, _, err = finchway("apply", "-f", str(path))
@@ -66,23 +66,23 @@
     assert finchway("get", "region", credential="wrong")[0] == 7
 
 
-def test_no_api_means_unavailable(capsys):
+def test_unreachable_api_exits_with_8_and_invalid_address_with_2(capsys):
     assert run(["get", "region", "--api=127.0.0.1:1"]) == 8
     assert run(["get", "region", "--api=localhost:1"]) == 2
     capsys.readouterr()
 
 
-def test_a_reader_may_not_change(finchway, deployment):
+def test_operator_with_read_role_may_not_change(finchway, deployment):
     code, out, _ = finchway("credential", "-o", "json")
-    made = json.loads(out)
-    spec = {"role": "read", "credential": made["digest"]}
+    created = json.loads(out)
+    spec = {"role": "read", "credential": created["digest"]}
     deployment.client.put("operator", "reader", spec)
-    assert finchway("get", "region", credential=made["credential"])[0] == 0
-    code, _, err = finchway("undrain", "zone/x", credential=made["credential"])
+    assert finchway("get", "region", credential=created["credential"])[0] == 0
+    code, _, err = finchway("undrain", "zone/x", credential=created["credential"])
     assert code == 7 and "may only read" in err
 
 
-def test_drain_and_undrain_wait(finchway, deployment):
+def test_drain_and_undrain_wait_until_done(finchway, deployment):
     address = next(c.address for s, _, c in deployment.upstreams if s == "bays")
     code, out, _ = finchway("drain", f"upstream/{address}", "--wait")
     assert code == 0 and "done" in out
@@ -104,14 +104,14 @@
     assert any(e["clock"] > accepted["clock"] for e in applied)
 
 
-def test_replicas_are_listed_and_the_last_one_stays(finchway):
+def test_replica_command_lists_voters_and_rejects_unknown_ones(finchway):
     code, out, _ = finchway("replica", "list")
     assert code == 0 and out.count("voter") == 3
     assert finchway("replica", "remove", "c9")[0] == 4
     assert finchway("replica", "dance")[0] == 2
 
 
-def test_bootstrap_and_keys_are_made_once(finchway, tmp_path):
+def test_bootstrap_and_keys_refuse_to_overwrite(finchway, tmp_path):
     folder = str(tmp_path / "data")
     code, out, _ = finchway("bootstrap", "c1", "127.0.0.1:7200", folder)
     assert code == 0 and "credential" in out
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -1,18 +1,7 @@
-"""Signals that come before a process watches for them, and after it has stopped to.
+"""Signals during process start and shutdown.
 
-A planned stop that is asked for more than once.
-
-Symptom: a replica that was told to stop twice within 0.1 s ended with the signal instead of 0
-(soak seed 637). Sequence: the first SIGTERM is carried out; the second comes while the process is
-on its way out. Cause: whoever watched the signals had gone by then, and SIGTERM had its default
-action again. What settled it: the codes of a process that gets SIGTERM all the time until it ends.
-
-Word of new settings that comes early. Symptom: a replica that was started anew ended with SIGHUP,
-code -1 (soak seed 658, beside load). Sequence: two planned stops overlap; the second sends word of
-new settings to the process that the first has just started. Cause: it was still importing, which
-takes 0.3 s and more, and SIGHUP had its default action until then; the start on the users' platform
-passed it over, the command `finchwayd` did not. What settled it: the plan of the run (stops of c1
-at 2.38 s and 2.66 s), and the signal masks of a process while it imports.
+A second SIGTERM during shutdown, or a SIGHUP during the imports at start, must not kill the process
+by its default action.
 """
 
 from __future__ import annotations
@@ -30,12 +19,12 @@
 from finchway.control import bootstrap
 
 pytestmark = pytest.mark.xdist_group("signals")
-ENDS_WITHIN_S = 10.0
-BETWEEN_S = 0.001
+EXIT_TIMEOUT_S = 10.0
+SIGNAL_INTERVAL_S = 0.001
 
 
 def launch(folder):
-    """Launch the command for a replica on a new cluster of its own."""
+    """Start the `finchwayd` command as the only replica of a new cluster."""
     peer, api = (f"127.0.0.1:{port}" for port in free_ports(2))
     bootstrap(folder, "c1", peer, ["c1"], CREDENTIAL)
     command = [Path(sys.executable).with_name("finchwayd"), "--instance=c1", "--roles=control"]
@@ -43,20 +32,20 @@
     return subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
 
 
-def until_started(process):
-    """Return once a process has said that it started."""
+def wait_until_started(process):
+    """Wait until the process logs that it has started."""
     while b'"change":"start"' not in process.stdout.readline():
         assert process.poll() is None
 
 
-def stop_again_and_again(process, numbers):
-    """Send signals until the process has ended; returns its code."""
-    deadline = time.monotonic() + ENDS_WITHIN_S
+def signal_until_exit(process, numbers):
+    """Send the signals repeatedly until the process exits; returns its exit status."""
+    deadline = time.monotonic() + EXIT_TIMEOUT_S
     while process.poll() is None:
         assert time.monotonic() < deadline
         for number in numbers:
             process.send_signal(number)
-        time.sleep(BETWEEN_S)
+        time.sleep(SIGNAL_INTERVAL_S)
     return process.returncode
 
 
@@ -65,20 +54,20 @@
     [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM), (signal.SIGINT, signal.SIGTERM)],
     ids=["stop", "reload-and-stop", "interrupt-and-stop"],
 )
-def test_a_stop_that_is_asked_for_again_and_again_ends_well(tmp_path, numbers):
+def test_repeated_stop_signals_end_in_exit_status_0(tmp_path, numbers):
     process = launch(tmp_path / "c1")
-    until_started(process)
-    assert stop_again_and_again(process, numbers) == 0
+    wait_until_started(process)
+    assert signal_until_exit(process, numbers) == 0
 
 
-def test_word_of_new_settings_does_not_end_a_command_that_is_still_importing(tmp_path):
+def test_reload_signal_during_imports_does_not_end_the_process(tmp_path):
     process = launch(tmp_path / "c1")
     try:
         while not ignores(process.pid, signal.SIGHUP):
             assert process.poll() is None
-            assert not catches(process.pid, signal.SIGHUP), "until now it would have ended it"
+            assert not catches(process.pid, signal.SIGHUP), "SIGHUP was not ignored before"
         process.send_signal(signal.SIGHUP)
-        until_started(process)
+        wait_until_started(process)
     finally:
         process.kill()
         process.wait()
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -1,4 +1,4 @@
-"""The event loop's clock across a suspension of the machine: a jump between two of its steps."""
+"""Boot clock during machine suspensions, and wall clock jumps."""
 
 import random
 import time
@@ -25,8 +25,8 @@
 from tests.unit.test_feed_desk import QuietRunner
 
 
-class Machine:
-    """Time since boot that runs as the steady clock does, but for suspensions."""
+class SuspendableMachine:
+    """Time since boot: the monotonic clock plus simulated suspensions."""
 
     def __init__(self):
         self.suspended = 0.0
@@ -35,25 +35,25 @@
         return time.monotonic() + self.suspended
 
 
-def play(check):
-    machine = Machine()
+def run_with_boot_clock(check):
+    machine = SuspendableMachine()
     return trio.run(check, machine, clock=BootClock(machine.read))
 
 
-def test_time_since_boot_is_that_of_the_system():
+def test_read_since_boot_matches_the_system_clock():
     assert read_since_boot() == pytest.approx(time.clock_gettime(time.CLOCK_BOOTTIME), abs=0.1)
 
 
-def test_the_loop_sleeps_and_wakes_in_order():
+def test_sleep_lasts_as_long_as_requested():
     async def check(machine):
         started = trio.current_time()
         await trio.sleep(0.5)
         return trio.current_time() - started
 
-    assert play(check) == pytest.approx(0.5, abs=0.1)
+    assert run_with_boot_clock(check) == pytest.approx(0.5, abs=0.1)
 
 
-def test_ages_count_a_suspension():
+def test_feed_age_includes_a_suspension():
     async def check(machine):
         world = World()
         feed = Feed(life="l", order=0, image=SteeringImage(), age=0.0)
@@ -62,10 +62,10 @@
         machine.suspended += 5.0
         assert not world.knows_all_until(trio.current_time() - 2.5)
 
-    play(check)
+    run_with_boot_clock(check)
 
 
-def test_what_came_due_meanwhile_is_seen_within_a_bound():
+def test_deadline_that_passes_during_a_suspension_fires_soon_after_resume():
     async def check(machine):
         async def suspend():
             await trio.sleep(0.05)
@@ -78,10 +78,10 @@
                 await trio.sleep_forever()
             return time.monotonic() - started
 
-    assert play(check) < 0.05 + MAX_SLEEP_S + 0.2
+    assert run_with_boot_clock(check) < 0.05 + MAX_SLEEP_S + 0.2
 
 
-def test_a_replica_that_wakes_tells_how_old_its_state_is():
+def test_resumed_replica_reports_the_age_of_its_state():
     async def check(machine):
         runner = QuietRunner()
         runner.covered_at = trio.current_time()
@@ -90,10 +90,10 @@
         machine.suspended += 5.0
         return (await desk.answer(Subscribe(beat=beat, revision=0))).age
 
-    assert play(check) >= 5.0
+    assert run_with_boot_clock(check) >= 5.0
 
 
-def test_a_gateway_that_wakes_is_not_named_until_it_is_heard_again():
+def test_gateway_is_not_listed_after_a_suspension_until_its_next_heartbeat():
     async def check(machine):
         desk = FeedDesk(QuietRunner(), None, 1.5)
         beat = GatewayBeat(name="g", incarnation="1", address="", zone="z", region="r", ready=True)
@@ -102,22 +102,22 @@
         machine.suspended += 5.0
         assert desk.gateways.serving(trio.current_time()) == []
 
-    play(check)
+    run_with_boot_clock(check)
 
 
-class AnsweringLink:
-    """A link whose every heartbeat the leader confirms."""
+class ConfirmingLink:
+    """A link on which every heartbeat is confirmed."""
 
     async def request(self, address, body, timeout):
         return HeartbeatReply(sequence=body.sequence, revision=body.revision, lease_s=3.0)
 
 
-def test_an_entry_that_wakes_has_no_lease_and_is_not_in_touch():
+def test_resumed_entry_has_no_lease_and_is_not_in_touch():
     async def check(machine):
         session = ControlSession(
             EntryIdentity("e1", "1", "127.0.0.1:1", "127.0.0.1:2", "z"),
             EntryView("e1", "z", random.Random(1)),
-            AnsweringLink(),
+            ConfirmingLink(),
             ["127.0.0.1:3"],
             LeaseTiming(),
             Timeline("e1", LogicalClock(), lambda: 0),
@@ -133,10 +133,10 @@
         assert await session.beat()
         assert session.has_lease
 
-    play(check)
+    run_with_boot_clock(check)
 
 
-def test_slots_that_were_lent_before_a_suspension_are_not_used_after_it():
+def test_slot_loans_expire_during_a_suspension():
     async def check(machine):
         share = Share(
             service="s",
@@ -151,10 +151,10 @@
         machine.suspended += 1.5
         assert holder.limits(("s", "r"), trio.current_time())["u"] < before
 
-    play(check)
+    run_with_boot_clock(check)
 
 
-def test_what_a_limit_allows_does_not_pile_up_over_a_suspension():
+def test_rate_limit_allowance_does_not_accumulate_during_a_suspension():
     async def check(machine):
         words = LimitWords()
         allowances = Allowances(words, random.Random(1), lambda life, limit, now: Part(limit, 2.0))
@@ -166,11 +166,11 @@
             sent += 1
         assert sent <= 2
 
-    play(check)
+    run_with_boot_clock(check)
 
 
-class TimeOfDay:
-    """A time of day and a time since boot that are set by hand."""
+class FakeTime:
+    """Wall clock and boot clock readings set by the test."""
 
     def __init__(self):
         self.day, self.boot = 1_796_000_000.0, 500.0
@@ -178,33 +178,33 @@
     def clock(self):
         return WallClock(lambda: self.day, lambda: self.boot)
 
-    def pass_by(self, seconds, ahead=0.0):
+    def advance(self, seconds, ahead=0.0):
         self.boot += seconds
         self.day += seconds + ahead
 
 
 @pytest.mark.parametrize("jump", [3_600.0, -3_600.0, 2.0, -2.0])
-def test_a_jump_of_the_time_of_day_that_is_taken_back_is_not_followed(jump):
-    times = TimeOfDay()
-    clock = times.clock()
-    times.pass_by(10.0, jump)
+def test_wall_clock_ignores_a_jump_that_is_reverted(jump):
+    time_source = FakeTime()
+    clock = time_source.clock()
+    time_source.advance(10.0, jump)
     assert clock.now() == pytest.approx(1_796_000_010.0)
-    times.pass_by(5.0)
+    time_source.advance(5.0)
     assert clock.now() == pytest.approx(1_796_000_015.0)
-    times.pass_by(5.0, -jump)
+    time_source.advance(5.0, -jump)
     assert clock.now_ms() == pytest.approx(1_796_000_020_000)
-    # Another one soon after begins anew.
-    times.pass_by(JUMP_ADOPTED_AFTER_S - 10.0, jump)
+    # A second jump starts a new confirmation period.
+    time_source.advance(JUMP_ADOPTED_AFTER_S - 10.0, jump)
     assert clock.now() == pytest.approx(1_796_000_010.0 + JUMP_ADOPTED_AFTER_S)
 
 
-def test_a_jump_that_lasts_is_followed_and_slewing_always():
-    times = TimeOfDay()
-    clock = times.clock()
-    times.pass_by(10.0, -3_600.0)
+def test_wall_clock_adopts_a_lasting_jump_and_follows_slewing():
+    time_source = FakeTime()
+    clock = time_source.clock()
+    time_source.advance(10.0, -3_600.0)
     clock.now()
-    times.pass_by(JUMP_ADOPTED_AFTER_S + 1.0)
-    assert clock.now() == pytest.approx(times.day)
+    time_source.advance(JUMP_ADOPTED_AFTER_S + 1.0)
+    assert clock.now() == pytest.approx(time_source.day)
     for _ in range(20):
-        times.pass_by(60.0, 0.5)
-        assert clock.now() == pytest.approx(times.day)
+        time_source.advance(60.0, 0.5)
+        assert clock.now() == pytest.approx(time_source.day)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: flags win over the environment, and all findings come together with their place."""
+"""Settings: precedence of flags over the environment, and validation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from finchway.daemon import main
 from finchway.exceptions import SettingsError
 
-GOOD = {
+VALID_ENVIRONMENT = {
     "FINCHWAY_INSTANCE": "e1",
     "FINCHWAY_ROLES": "entry",
     "FINCHWAY_ZONE": "za",
@@ -28,14 +28,14 @@
     return read_settings(values, environment)
 
 
-def test_a_flag_wins_over_its_variable():
-    assert read([], GOOD).zone == "za"
-    assert read(["--zone=zb"], GOOD).zone == "zb"
+def test_flag_takes_precedence_over_environment_variable():
+    assert read([], VALID_ENVIRONMENT).zone == "za"
+    assert read(["--zone=zb"], VALID_ENVIRONMENT).zone == "zb"
 
 
-def test_all_findings_come_together_with_their_place():
+def test_all_findings_are_reported_with_their_place():
     environment = {
-        **GOOD,
+        **VALID_ENVIRONMENT,
         "FINCHWAY_CONTROL_PEERS": "127.0.0.1:7201,example:1",
         "FINCHWAY_LEASE_S": "soon",
         "FINCHWAY_TYPO": "1",
@@ -53,25 +53,25 @@
     ]
 
 
-def test_variables_of_the_tool_are_no_fault():
+def test_variables_of_the_command_line_tool_are_accepted():
     tool = dict.fromkeys(CLI_VARIABLES, "x")
-    assert read([], {**GOOD, **tool}).instance == "e1"
+    assert read([], {**VALID_ENVIRONMENT, **tool}).instance == "e1"
 
 
-def test_settings_that_do_not_agree_are_found():
+def test_inconsistent_settings_are_rejected():
     with pytest.raises(SettingsError, match="shorter than three heartbeats"):
-        read(["--lease_s=0.5", "--heartbeat_s=0.2"], GOOD)
+        read(["--lease_s=0.5", "--heartbeat_s=0.2"], VALID_ENVIRONMENT)
     with pytest.raises(SettingsError, match="given together"):
-        read([f"--tls_key={__file__}"], GOOD)
+        read([f"--tls_key={__file__}"], VALID_ENVIRONMENT)
 
 
-def test_control_needs_its_own_settings():
+def test_control_role_requires_its_own_settings():
     with pytest.raises(SettingsError) as caught:
-        read(["--roles=control"], GOOD)
+        read(["--roles=control"], VALID_ENVIRONMENT)
     assert {f.place for f in caught.value.findings} == {"--api_address", "--data_folder"}
 
 
-def test_the_daemon_exits_with_2(capsys):
+def test_daemon_exits_with_status_2_for_invalid_settings(capsys):
     with pytest.raises(SystemExit) as caught:
         main(["--roles=entry"])
     assert caught.value.code == 2
@@ -82,7 +82,7 @@
     assert caught.value.code == 2
 
 
-def test_help_names_every_setting(capsys):
+def test_help_lists_settings_and_variables(capsys):
     main(["--help"])
     text = capsys.readouterr().out
     assert "FINCHWAY_DATA_FOLDER" in text and "--entry_address" in text
@@ -90,11 +90,11 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(
-    name=st.sampled_from(sorted(GOOD)),
+    name=st.sampled_from(sorted(VALID_ENVIRONMENT)),
     value=st.text(st.characters(blacklist_characters="\x00", blacklist_categories=["Cs"])),
 )
-def test_any_text_is_read_or_refused_with_its_place(name, value):
+def test_any_text_is_accepted_or_rejected_with_its_place(name, value):
     try:
-        read([], {**GOOD, name: value})
+        read([], {**VALID_ENVIRONMENT, name: value})
     except SettingsError as error:
         assert all(f.place and f.problem for f in error.findings)
