--- a/src/finchway/_signals.py
+++ b/src/finchway/_signals.py
@@ -13,7 +13,7 @@
 RELOAD_SIGNALS = (signal.SIGHUP,)
 
 
-class SignalWatch:
+class SignalHandlers:
     """Context manager that runs callbacks on stop and reload signals, inside the trio loop.
 
     On exit the signals are set to be ignored, not restored: a second SIGTERM must not kill a
@@ -29,7 +29,7 @@
         self._callbacks = dict.fromkeys(STOP_SIGNALS, on_stop)
         self._callbacks |= dict.fromkeys(RELOAD_SIGNALS, on_reload)
 
-    def __enter__(self) -> SignalWatch:
+    def __enter__(self) -> SignalHandlers:
         for number in self._callbacks:
             signal.signal(number, self._dispatch)
         return self
--- a/src/finchway/cli/__init__.py
+++ b/src/finchway/cli/__init__.py
@@ -12,7 +12,7 @@
 import msgspec
 from absl import flags
 
-from finchway.cli._commands import COMMANDS, Context
+from finchway.cli._commands import COMMANDS, CommandContext
 from finchway.exceptions import ConflictError, FinchwayError
 
 _HELP_TEMPLATE = """finchway: drives a finchway deployment
@@ -96,7 +96,7 @@
         print(f"finchway: no command {positional[0]!r}; there are {known}", file=sys.stderr)
         return 2
     try:
-        command(Context(values), positional[1:])
+        command(CommandContext(values), positional[1:])
     except FinchwayError as error:
         return _print_error(error)
     except KeyboardInterrupt:
--- a/src/finchway/cli/_commands.py
+++ b/src/finchway/cli/_commands.py
@@ -38,7 +38,7 @@
 _HEADINGS = ["NAME", "GENERATION", "REVISION", "STATUS", "SPEC"]
 
 
-class Context:
+class CommandContext:
     """The API client, printer and options of one invocation."""
 
     def __init__(self, options: flags.FlagValues) -> None:
@@ -65,7 +65,7 @@
         return self._options[name].value
 
 
-def apply(context: Context, arguments: list[str]) -> None:
+def apply(context: CommandContext, arguments: list[str]) -> None:
     """Accept the resources of YAML or JSON files: apply -f FILE [FILE...]."""
     paths = [*context.option("file"), *arguments]
     if not paths:
@@ -90,7 +90,7 @@
         _wait_in_force(context, api, revision)
 
 
-def get(context: Context, arguments: list[str]) -> None:
+def get(context: CommandContext, arguments: list[str]) -> None:
     """List resources, or print one: get KIND [NAME]."""
     if not 1 <= len(arguments) <= 2:
         raise _usage("get KIND [NAME]")
@@ -102,14 +102,14 @@
     context.printer.table(listed, _HEADINGS, [resource_row(item) for item in listed["items"]])
 
 
-def describe(context: Context, arguments: list[str]) -> None:
+def describe(context: CommandContext, arguments: list[str]) -> None:
     """Print everything about a resource: describe KIND NAME."""
     if len(arguments) != 2:
         raise _usage("describe KIND NAME")
     context.printer.value(context.api.get(*arguments))
 
 
-def delete(context: Context, arguments: list[str]) -> None:
+def delete(context: CommandContext, arguments: list[str]) -> None:
     """Delete a resource: delete KIND NAME [--expected GENERATION]."""
     if len(arguments) != 2:
         raise _usage("delete KIND NAME")
@@ -120,7 +120,7 @@
         _wait_in_force(context, context.api, answer["revision"])
 
 
-def watch(context: Context, arguments: list[str]) -> None:
+def watch(context: CommandContext, arguments: list[str]) -> None:
     """Follow accepted configuration and produced state: watch [KIND] [--since REVISION]."""
     if len(arguments) > 1:
         raise _usage("watch [KIND]")
@@ -142,7 +142,7 @@
             context.printer.line(line, f"{last_in_force:>6} in force at every serving entry")
 
 
-def drain(context: Context, arguments: list[str]) -> None:
+def drain(context: CommandContext, arguments: list[str]) -> None:
     """Drain upstream/IP:PORT, zone/NAME, region/NAME or instance/NAME: drain TARGET [--wait]."""
     if len(arguments) != 1:
         raise _usage("drain TARGET")
@@ -156,14 +156,14 @@
         _wait_done(context, api, "drain", name)
 
 
-def undrain(context: Context, arguments: list[str]) -> None:
+def undrain(context: CommandContext, arguments: list[str]) -> None:
     """End a drain: undrain TARGET [--wait]."""
     if len(arguments) != 1:
         raise _usage("undrain TARGET")
     delete(context, ["drain", drain_name(arguments[0])])
 
 
-def move(context: Context, arguments: list[str]) -> None:
+def move(context: CommandContext, arguments: list[str]) -> None:
     """Move a service's callers between regions: move SERVICE SOURCE TARGET [--percent N]."""
     if len(arguments) != 3:
         raise _usage("move SERVICE SOURCE TARGET [--percent N] [--step N] [--interval S]")
@@ -186,7 +186,7 @@
         _wait_done(context, api, "move", name)
 
 
-def status(context: Context, arguments: list[str]) -> None:
+def status(context: CommandContext, arguments: list[str]) -> None:
     """Show which entries have which revision in force, and the control replicas."""
     entries = context.api.read("/v1/entries")
     replicas = context.api.read("/v1/replicas")
@@ -203,7 +203,7 @@
     _print_replicas(context, replicas)
 
 
-def events(context: Context, arguments: list[str]) -> None:
+def events(context: CommandContext, arguments: list[str]) -> None:
     """Print the time line of all processes: events [--follow]."""
     api = context.api
     after = ""
@@ -220,7 +220,7 @@
             time.sleep(1.0)
 
 
-def replica(context: Context, arguments: list[str]) -> None:
+def replica(context: CommandContext, arguments: list[str]) -> None:
     """Show or change the control replicas: replica list | add NAME | remove NAME | replace NAME."""
     match arguments:
         case ["list"]:
@@ -236,7 +236,7 @@
             raise _usage("replica list | add NAME | remove NAME | replace NAME")
 
 
-def bootstrap(context: Context, arguments: list[str]) -> None:
+def bootstrap(context: CommandContext, arguments: list[str]) -> None:
     """Start a new cluster in an empty folder: bootstrap NAME PEER_ADDRESS FOLDER [EXPECTED...]."""
     if len(arguments) < 3:
         raise _usage("bootstrap NAME PEER_ADDRESS FOLDER [EXPECTED_REPLICA...]")
@@ -249,7 +249,7 @@
     context.printer.line(result, text)
 
 
-def credential(context: Context, arguments: list[str]) -> None:
+def credential(context: CommandContext, arguments: list[str]) -> None:
     """Make a credential for an organisation or operator, and the digest to declare."""
     token = secrets.token_urlsafe(24)
     digest = hashlib.sha256(token.encode()).hexdigest()
@@ -257,7 +257,7 @@
     context.printer.line(value, f"credential {token}\ndigest {digest}")
 
 
-def keys(context: Context, arguments: list[str]) -> None:
+def keys(context: CommandContext, arguments: list[str]) -> None:
     """Make the key pair that encrypts links between processes: keys FILE."""
     if len(arguments) != 1:
         raise _usage("keys FILE")
@@ -288,7 +288,7 @@
     return {"generation": answer["generation"], "revision": answer["revision"]}
 
 
-def _wait_in_force(context: Context, api: ApiClient, revision: int) -> None:
+def _wait_in_force(context: CommandContext, api: ApiClient, revision: int) -> None:
     deadline = time.monotonic() + context.option("timeout")
     while True:
         entries = api.read("/v1/entries")
@@ -306,7 +306,7 @@
     return min(serving, default=entries["revision"])
 
 
-def change(context: Context, arguments: list[str]) -> None:
+def change(context: CommandContext, arguments: list[str]) -> None:
     """Set and drop routes, services and limits as one unit: change -f FILE."""
     paths = [*context.option("file"), *arguments]
     if not paths:
@@ -317,7 +317,7 @@
     context.printer.line(answer, text)
 
 
-def steering(context: Context, arguments: list[str]) -> None:
+def steering(context: CommandContext, arguments: list[str]) -> None:
     """Show routes, upstreams, gateways and what each has in force: steering."""
     view = context.api.read("/v1/steering")
     if context.printer.as_json:
@@ -341,7 +341,7 @@
     context.printer.table(view, headings, rows)
 
 
-def release(context: Context, arguments: list[str]) -> None:
+def release(context: CommandContext, arguments: list[str]) -> None:
     """Have a request that is suspected of ending upstreams sent to them again: release DIGEST."""
     if len(arguments) != 1:
         raise _usage("release DIGEST")
@@ -349,17 +349,17 @@
     context.printer.line(answer, f"request {arguments[0]} may be sent to upstreams again")
 
 
-def evacuate(context: Context, arguments: list[str]) -> None:
+def evacuate(context: CommandContext, arguments: list[str]) -> None:
     """Send nothing new to the upstreams of an availability zone: evacuate ZONE."""
     _set_evacuation(context, arguments, True)
 
 
-def readmit(context: Context, arguments: list[str]) -> None:
+def readmit(context: CommandContext, arguments: list[str]) -> None:
     """Take an evacuated availability zone back: readmit ZONE."""
     _set_evacuation(context, arguments, False)
 
 
-def _set_evacuation(context: Context, arguments: list[str], active: bool) -> None:
+def _set_evacuation(context: CommandContext, arguments: list[str], active: bool) -> None:
     if len(arguments) != 1:
         raise _usage(f"{'evacuate' if active else 'readmit'} ZONE")
     answer = context.api.post(f"/v1/steering/evacuations/{arguments[0]}", {"active": active})
@@ -367,7 +367,7 @@
     context.printer.line(answer, text)
 
 
-def explain(context: Context, arguments: list[str]) -> None:
+def explain(context: CommandContext, arguments: list[str]) -> None:
     """explain ID FILE...: tell the story of one request from log files."""
     if len(arguments) < 2:
         raise _usage("explain ID FILE...")
@@ -375,7 +375,7 @@
         print(line)
 
 
-def _wait_done(context: Context, api: ApiClient, kind: str, name: str) -> None:
+def _wait_done(context: CommandContext, api: ApiClient, kind: str, name: str) -> None:
     deadline = time.monotonic() + context.option("timeout")
     last_shown = ""
     while True:
@@ -403,7 +403,7 @@
             time.sleep(_POLL_S)
 
 
-def _print_replicas(context: Context, answer: dict[str, Any]) -> None:
+def _print_replicas(context: CommandContext, answer: dict[str, Any]) -> None:
     voters = {_member_id(m) for m in answer["members"]["voters"]}
     rows = []
     for item in answer["replicas"]:
--- a/src/finchway/daemon.py
+++ b/src/finchway/daemon.py
@@ -14,7 +14,7 @@
 
 from finchway._clock import BootClock
 from finchway._settings import CONTROL, ENTRY, GATEWAY, Settings, define_flags, read_settings
-from finchway._signals import SignalWatch
+from finchway._signals import SignalHandlers
 from finchway.control import (
     ControlServer,
     ReplicaRunner,
@@ -94,7 +94,7 @@
 
     async def run(self) -> None:
         """Run until a stop signal arrives, then shut down gracefully."""
-        with SignalWatch(self._stop.set, self._reload):
+        with SignalHandlers(self._stop.set, self._reload):
             async with trio.open_nursery() as nursery:
                 await self._start(nursery)
                 await self._stop.wait()
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 from platform_documents import (
-    born_from_deregistration,
     items_from_patch,
     items_to_document,
-    registration_from_beat,
+    registration_from_heartbeat,
+    start_time_from_deregistration,
 )
 from platform_settings import load_settings, to_seconds
 
@@ -136,7 +136,7 @@
 def test_heartbeat_converts_to_a_registration():
     heartbeat = documents.heartbeat(state="draining", sequence=4)
     heartbeat["status"]["cold_remaining"] = "2500ms"
-    registration = registration_from_beat("i-1", encode(heartbeat))
+    registration = registration_from_heartbeat("i-1", encode(heartbeat))
     assert registration.state is UpstreamState.DRAINING
     assert (registration.sequence, registration.slots, registration.cold_for) == (4, 6, 2.5)
 
@@ -146,13 +146,15 @@
     heartbeat = documents.heartbeat()
     del heartbeat[missing]
     with pytest.raises(ResourceError, match=missing):
-        registration_from_beat("i-1", encode(heartbeat))
+        registration_from_heartbeat("i-1", encode(heartbeat))
 
 
 def test_start_time_distinguishes_incarnations_of_a_worker():
     document = documents.heartbeat("10.0.0.1:1", "ready", 3)
-    assert registration_from_beat("i-1", encode(document)).born == 0
-    registration = registration_from_beat("i-1", encode(document | {"born": 1_787_833_522_241}))
+    assert registration_from_heartbeat("i-1", encode(document)).born == 0
+    registration = registration_from_heartbeat(
+        "i-1", encode(document | {"born": 1_787_833_522_241})
+    )
     assert registration.life == "i-1@1787833522241"
 
 
@@ -160,12 +162,12 @@
 def test_start_time_must_be_a_non_negative_integer(born):
     document = documents.heartbeat("10.0.0.1:1", "ready", 3) | {"born": born}
     with pytest.raises(ResourceError, match="born"):
-        registration_from_beat("i-1", encode(document))
+        registration_from_heartbeat("i-1", encode(document))
     with pytest.raises(ResourceError, match="born"):
-        born_from_deregistration(encode({"born": born}))
+        start_time_from_deregistration(encode({"born": born}))
 
 
 def test_deregistration_may_include_the_start_time():
-    assert born_from_deregistration(b"") == 0
-    assert born_from_deregistration(b"{}") == 0
-    assert born_from_deregistration(encode({"born": 5})) == 5
+    assert start_time_from_deregistration(b"") == 0
+    assert start_time_from_deregistration(b"{}") == 0
+    assert start_time_from_deregistration(encode({"born": 5})) == 5
--- a/tests/adapter/test_malformed_documents.py
+++ b/tests/adapter/test_malformed_documents.py
@@ -9,7 +9,11 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from platform_documents import born_from_deregistration, items_from_patch, registration_from_beat
+from platform_documents import (
+    items_from_patch,
+    registration_from_heartbeat,
+    start_time_from_deregistration,
+)
 
 from finchway.exceptions import ResourceError
 from finchway.feed import HeardUpstream
@@ -83,7 +87,7 @@
 @given(mutations(HEARTBEAT))
 def test_heartbeat_is_rejected_or_can_be_encoded(document):
     try:
-        registration = registration_from_beat("i-1", msgspec.json.encode(document))
+        registration = registration_from_heartbeat("i-1", msgspec.json.encode(document))
     except ResourceError:
         return
     if not check_registration(registration):
@@ -104,9 +108,9 @@
 @given(st.binary(max_size=60) | ARBITRARY_VALUES.map(msgspec.json.encode))
 def test_arbitrary_bytes_are_rejected_or_read(data):
     for read in (
-        lambda: registration_from_beat("i-1", data),
+        lambda: registration_from_heartbeat("i-1", data),
         lambda: items_from_patch(data),
-        lambda: born_from_deregistration(data),
+        lambda: start_time_from_deregistration(data),
     ):
         try:
             read()
@@ -117,7 +121,7 @@
 def test_malformed_bodies_are_rejected():
     for data in (DEEPLY_NESTED, b'{"a":' * 50_000, b"\xff", b"null", b"3"):
         with pytest.raises(ResourceError):
-            registration_from_beat("i-1", data)
+            registration_from_heartbeat("i-1", data)
         with pytest.raises(ResourceError):
             items_from_patch(data)
 
@@ -148,7 +152,7 @@
 def test_heartbeat_with_invalid_field_is_rejected_naming_the_field(field, value):
     data = msgspec.json.encode(with_value(HEARTBEAT, field, value))
     with pytest.raises(ResourceError) as caught:
-        registration = registration_from_beat("i-1", data)
+        registration = registration_from_heartbeat("i-1", data)
         findings = check_registration(registration)
         if findings:
             raise ResourceError(findings, "heartbeat")
