--- a/src/finchway/cli/_commands.py
+++ b/src/finchway/cli/_commands.py
@@ -1,7 +1,8 @@
 """The commands of `finchway`, one function each.
 
-A command takes its arguments and the options that it declares; it returns nothing and raises an
-error of `finchway.exceptions`, whose `exit_code` the tool exits with.
+A command takes the context and its positional arguments. It raises an exception of
+`finchway.exceptions` on failure, and the tool exits with the exception's `exit_code`. The doc
+strings of the commands are printed by `finchway --help`.
 """
 
 from __future__ import annotations
@@ -37,8 +38,8 @@
 _HEADINGS = ["NAME", "GENERATION", "REVISION", "STATUS", "SPEC"]
 
 
-class Context:
-    """What every command is given: the API, the printer and the options."""
+class CommandContext:
+    """The API client, printer and options of one invocation."""
 
     def __init__(self, options: flags.FlagValues) -> None:
         self._options = options
@@ -46,7 +47,7 @@
 
     @property
     def api(self) -> ApiClient:
-        """A client of the resource API."""
+        """A new client of the resource API; raises `InputError` for invalid addresses."""
         addresses = [a.strip() for a in self._options["api"].value.split(",") if a.strip()]
         findings = [
             Finding(f"--api[{index}]", problem)
@@ -64,7 +65,7 @@
         return self._options[name].value
 
 
-def apply(context: Context, arguments: list[str]) -> None:
+def apply(context: CommandContext, arguments: list[str]) -> None:
     """Accept the resources of YAML or JSON files: apply -f FILE [FILE...]."""
     paths = [*context.option("file"), *arguments]
     if not paths:
@@ -82,14 +83,14 @@
     for draft in sorted(drafts, key=lambda d: _APPLY_ORDER[d.kind]):
         answer = api.put(draft.kind, draft.name, msgspec.to_builtins(draft.spec))
         revision = max(revision, answer["revision"])
-        what = f"{draft.kind}/{draft.name}"
-        text = f"{what} generation {answer['generation']} revision {answer['revision']}"
-        context.printer.line({"resource": what, **_numbers(answer)}, text)
+        resource_id = f"{draft.kind}/{draft.name}"
+        text = f"{resource_id} generation {answer['generation']} revision {answer['revision']}"
+        context.printer.line({"resource": resource_id, **_generation_and_revision(answer)}, text)
     if context.option("wait"):
         _wait_in_force(context, api, revision)
 
 
-def get(context: Context, arguments: list[str]) -> None:
+def get(context: CommandContext, arguments: list[str]) -> None:
     """List resources, or print one: get KIND [NAME]."""
     if not 1 <= len(arguments) <= 2:
         raise _usage("get KIND [NAME]")
@@ -101,25 +102,25 @@
     context.printer.table(listed, _HEADINGS, [resource_row(item) for item in listed["items"]])
 
 
-def describe(context: Context, arguments: list[str]) -> None:
+def describe(context: CommandContext, arguments: list[str]) -> None:
     """Print everything about a resource: describe KIND NAME."""
     if len(arguments) != 2:
         raise _usage("describe KIND NAME")
     context.printer.value(context.api.get(*arguments))
 
 
-def delete(context: Context, arguments: list[str]) -> None:
+def delete(context: CommandContext, arguments: list[str]) -> None:
     """Delete a resource: delete KIND NAME [--expected GENERATION]."""
     if len(arguments) != 2:
         raise _usage("delete KIND NAME")
     answer = context.api.delete(*arguments, expected=context.option("expected"))
     text = f"{'/'.join(arguments)} deleted at revision {answer['revision']}"
-    context.printer.line(_numbers(answer), text)
+    context.printer.line(_generation_and_revision(answer), text)
     if context.option("wait"):
         _wait_in_force(context, context.api, answer["revision"])
 
 
-def watch(context: Context, arguments: list[str]) -> None:
+def watch(context: CommandContext, arguments: list[str]) -> None:
     """Follow accepted configuration and produced state: watch [KIND] [--since REVISION]."""
     if len(arguments) > 1:
         raise _usage("watch [KIND]")
@@ -128,39 +129,41 @@
     since = context.option("since")
     if since is None:
         since = api.list(kind or "service")["revision"]
-    shown = -1
+    last_in_force = -1
     for line in api.watch(since, kind):
         if "resource" in line:
             resource = line["resource"]
-            what = f"{resource['kind']}/{resource['name']}"
+            resource_id = f"{resource['kind']}/{resource['name']}"
             status = status_text(resource.get("status"))
-            text = f"{line['revision']:>6} {line['operation']:<6} {what} {status}"
+            text = f"{line['revision']:>6} {line['operation']:<6} {resource_id} {status}"
             context.printer.line(line, text)
-        elif "in_force" in line and line["in_force"] != shown:
-            shown = line["in_force"]
-            context.printer.line(line, f"{shown:>6} in force at every serving entry")
+        elif "in_force" in line and line["in_force"] != last_in_force:
+            last_in_force = line["in_force"]
+            context.printer.line(line, f"{last_in_force:>6} in force at every serving entry")
 
 
-def drain(context: Context, arguments: list[str]) -> None:
+def drain(context: CommandContext, arguments: list[str]) -> None:
     """Drain upstream/IP:PORT, zone/NAME, region/NAME or instance/NAME: drain TARGET [--wait]."""
     if len(arguments) != 1:
         raise _usage("drain TARGET")
     api = context.api
     name = drain_name(arguments[0])
     answer = api.put("drain", name, {"target": arguments[0]})
-    context.printer.line(_numbers(answer), f"drain/{name} accepted at {answer['revision']}")
+    context.printer.line(
+        _generation_and_revision(answer), f"drain/{name} accepted at {answer['revision']}"
+    )
     if context.option("wait"):
         _wait_done(context, api, "drain", name)
 
 
-def undrain(context: Context, arguments: list[str]) -> None:
+def undrain(context: CommandContext, arguments: list[str]) -> None:
     """End a drain: undrain TARGET [--wait]."""
     if len(arguments) != 1:
         raise _usage("undrain TARGET")
     delete(context, ["drain", drain_name(arguments[0])])
 
 
-def move(context: Context, arguments: list[str]) -> None:
+def move(context: CommandContext, arguments: list[str]) -> None:
     """Move a service's callers between regions: move SERVICE SOURCE TARGET [--percent N]."""
     if len(arguments) != 3:
         raise _usage("move SERVICE SOURCE TARGET [--percent N] [--step N] [--interval S]")
@@ -176,19 +179,21 @@
     api = context.api
     name = f"{service}.{source}.{target}"
     answer = api.put("move", name, spec)
-    context.printer.line(_numbers(answer), f"move/{name} accepted at {answer['revision']}")
+    context.printer.line(
+        _generation_and_revision(answer), f"move/{name} accepted at {answer['revision']}"
+    )
     if context.option("wait"):
         _wait_done(context, api, "move", name)
 
 
-def status(context: Context, arguments: list[str]) -> None:
+def status(context: CommandContext, arguments: list[str]) -> None:
     """Show which entries have which revision in force, and the control replicas."""
     entries = context.api.read("/v1/entries")
     replicas = context.api.read("/v1/replicas")
     if context.printer.as_json:
         context.printer.value({"entries": entries, "replicas": replicas})
         return
-    print(f"revision {entries['revision']}, in force at {_in_force(entries)}")
+    print(f"revision {entries['revision']}, in force at {_revision_in_force(entries)}")
     rows = [
         [e["instance"], e["state"], str(e["revision"]), str(e["in_flight"]), e["peer"]]
         for e in entries["entries"]
@@ -198,7 +203,7 @@
     _print_replicas(context, replicas)
 
 
-def events(context: Context, arguments: list[str]) -> None:
+def events(context: CommandContext, arguments: list[str]) -> None:
     """Print the time line of all processes: events [--follow]."""
     api = context.api
     after = ""
@@ -215,13 +220,13 @@
             time.sleep(1.0)
 
 
-def replica(context: Context, arguments: list[str]) -> None:
+def replica(context: CommandContext, arguments: list[str]) -> None:
     """Show or change the control replicas: replica list | add NAME | remove NAME | replace NAME."""
     match arguments:
         case ["list"]:
             _print_replicas(context, context.api.read("/v1/replicas"))
-        case ["add" | "remove" as what, name]:
-            _print_replicas(context, context.api.post("/v1/replicas", {what: name}))
+        case ["add" | "remove" as action, name]:
+            _print_replicas(context, context.api.post("/v1/replicas", {action: name}))
         case ["replace", name]:
             api = context.api
             api.post("/v1/replicas", {"remove": name})
@@ -231,7 +236,7 @@
             raise _usage("replica list | add NAME | remove NAME | replace NAME")
 
 
-def bootstrap(context: Context, arguments: list[str]) -> None:
+def bootstrap(context: CommandContext, arguments: list[str]) -> None:
     """Start a new cluster in an empty folder: bootstrap NAME PEER_ADDRESS FOLDER [EXPECTED...]."""
     if len(arguments) < 3:
         raise _usage("bootstrap NAME PEER_ADDRESS FOLDER [EXPECTED_REPLICA...]")
@@ -239,14 +244,12 @@
     problem = check_address(address)
     if problem:
         raise InputError([Finding("PEER_ADDRESS", problem)], "arguments")
-    started = start_cluster(Path(folder), name, address, expected, context.option("credential"))
-    text = (
-        f"cluster {started.cluster}\noperator {started.operator}\ncredential {started.credential}"
-    )
-    context.printer.line(started, text)
+    result = start_cluster(Path(folder), name, address, expected, context.option("credential"))
+    text = f"cluster {result.cluster}\noperator {result.operator}\ncredential {result.credential}"
+    context.printer.line(result, text)
 
 
-def credential(context: Context, arguments: list[str]) -> None:
+def credential(context: CommandContext, arguments: list[str]) -> None:
     """Make a credential for an organisation or operator, and the digest to declare."""
     token = secrets.token_urlsafe(24)
     digest = hashlib.sha256(token.encode()).hexdigest()
@@ -254,7 +257,7 @@
     context.printer.line(value, f"credential {token}\ndigest {digest}")
 
 
-def keys(context: Context, arguments: list[str]) -> None:
+def keys(context: CommandContext, arguments: list[str]) -> None:
     """Make the key pair that encrypts links between processes: keys FILE."""
     if len(arguments) != 1:
         raise _usage("keys FILE")
@@ -281,15 +284,15 @@
     return decoded if isinstance(decoded, list) else [decoded]
 
 
-def _numbers(answer: dict[str, Any]) -> dict[str, int]:
+def _generation_and_revision(answer: dict[str, Any]) -> dict[str, int]:
     return {"generation": answer["generation"], "revision": answer["revision"]}
 
 
-def _wait_in_force(context: Context, api: ApiClient, revision: int) -> None:
+def _wait_in_force(context: CommandContext, api: ApiClient, revision: int) -> None:
     deadline = time.monotonic() + context.option("timeout")
     while True:
         entries = api.read("/v1/entries")
-        if _in_force(entries) >= revision:
+        if _revision_in_force(entries) >= revision:
             context.printer.line({"in_force": revision}, f"revision {revision} is in force")
             return
         if time.monotonic() > deadline:
@@ -298,12 +301,12 @@
         time.sleep(_POLL_S)
 
 
-def _in_force(entries: dict[str, Any]) -> int:
+def _revision_in_force(entries: dict[str, Any]) -> int:
     serving = [e["revision"] for e in entries["entries"] if e["state"] not in ("silent", "gone")]
     return min(serving, default=entries["revision"])
 
 
-def change(context: Context, arguments: list[str]) -> None:
+def change(context: CommandContext, arguments: list[str]) -> None:
     """Set and drop routes, services and limits as one unit: change -f FILE."""
     paths = [*context.option("file"), *arguments]
     if not paths:
@@ -314,7 +317,7 @@
     context.printer.line(answer, text)
 
 
-def steering(context: Context, arguments: list[str]) -> None:
+def steering(context: CommandContext, arguments: list[str]) -> None:
     """Show routes, upstreams, gateways and what each has in force: steering."""
     view = context.api.read("/v1/steering")
     if context.printer.as_json:
@@ -338,7 +341,7 @@
     context.printer.table(view, headings, rows)
 
 
-def release(context: Context, arguments: list[str]) -> None:
+def release(context: CommandContext, arguments: list[str]) -> None:
     """Have a request that is suspected of ending upstreams sent to them again: release DIGEST."""
     if len(arguments) != 1:
         raise _usage("release DIGEST")
@@ -346,17 +349,17 @@
     context.printer.line(answer, f"request {arguments[0]} may be sent to upstreams again")
 
 
-def evacuate(context: Context, arguments: list[str]) -> None:
+def evacuate(context: CommandContext, arguments: list[str]) -> None:
     """Send nothing new to the upstreams of an availability zone: evacuate ZONE."""
     _set_evacuation(context, arguments, True)
 
 
-def readmit(context: Context, arguments: list[str]) -> None:
+def readmit(context: CommandContext, arguments: list[str]) -> None:
     """Take an evacuated availability zone back: readmit ZONE."""
     _set_evacuation(context, arguments, False)
 
 
-def _set_evacuation(context: Context, arguments: list[str], active: bool) -> None:
+def _set_evacuation(context: CommandContext, arguments: list[str], active: bool) -> None:
     if len(arguments) != 1:
         raise _usage(f"{'evacuate' if active else 'readmit'} ZONE")
     answer = context.api.post(f"/v1/steering/evacuations/{arguments[0]}", {"active": active})
@@ -364,22 +367,22 @@
     context.printer.line(answer, text)
 
 
-def explain(context: Context, words: list[str]) -> None:
+def explain(context: CommandContext, arguments: list[str]) -> None:
     """explain ID FILE...: tell the story of one request from log files."""
-    if len(words) < 2:
+    if len(arguments) < 2:
         raise _usage("explain ID FILE...")
-    for line in explain_request(words[0], [Path(word) for word in words[1:]]):
+    for line in explain_request(arguments[0], [Path(path) for path in arguments[1:]]):
         print(line)
 
 
-def _wait_done(context: Context, api: ApiClient, kind: str, name: str) -> None:
+def _wait_done(context: CommandContext, api: ApiClient, kind: str, name: str) -> None:
     deadline = time.monotonic() + context.option("timeout")
-    shown = ""
+    last_shown = ""
     while True:
         resource = api.get(kind, name)
         text = status_text(resource.get("status"))
-        if text != shown:
-            shown = text
+        if text != last_shown:
+            last_shown = text
             context.printer.line(resource.get("status"), f"{kind}/{name} {text}")
         if (resource.get("status") or {}).get("phase") == "done":
             return
@@ -400,13 +403,13 @@
             time.sleep(_POLL_S)
 
 
-def _print_replicas(context: Context, answer: dict[str, Any]) -> None:
+def _print_replicas(context: CommandContext, answer: dict[str, Any]) -> None:
     voters = {_member_id(m) for m in answer["members"]["voters"]}
     rows = []
     for item in answer["replicas"]:
         vote = "voter" if item["id"] in voters else "learner"
-        numbers = [str(item.get(key, "-")) for key in ("term", "commit", "revision")]
-        rows.append([item["id"], vote, item["role"], *numbers])
+        columns = [str(item.get(key, "-")) for key in ("term", "commit", "revision")]
+        rows.append([item["id"], vote, item["role"], *columns])
     for member in answer["asking"]:
         rows.append([_member_id(member), "asking", "-", "-", "-", "-"])
     headings = ["REPLICA", "VOTE", "ROLE", "TERM", "COMMIT", "REVISION"]
