--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -19,7 +19,7 @@
     UnavailableError,
 )
 from finchway.feed import choose_gateways
-from finchway.observe import BeliefChanged, DecisionLog, OrderEnded, ReplicaMetrics, ReplicaState
+from finchway.observe import CommandEnded, DecisionLog, ReplicaMetrics, ReplicaState, StateChanged
 from finchway.registry import (
     MarkKind,
     Registration,
@@ -76,7 +76,7 @@
         subject = ", ".join(
             f"{item.key} version {item.version}" for item in items[:MAX_LOGGED_ITEMS]
         )
-        with self._log_order("change", subject):
+        with self._log_command("change", subject):
             result = await self._submit(ChangeItems(now_ms=WALL.now_ms(), items=items))
             match result:
                 case Rejected(findings=findings):
@@ -112,7 +112,7 @@
 
     async def evacuate(self, zone: str, active: bool) -> None:
         """Begin or end the evacuation of a zone."""
-        with self._log_order("evacuate" if active else "readmit", f"zone/{zone}"):
+        with self._log_command("evacuate" if active else "readmit", f"zone/{zone}"):
             await self._submit(SetEvacuation(now_ms=WALL.now_ms(), zone=zone, active=active))
 
     async def release(self, request: str) -> None:
@@ -127,7 +127,7 @@
                 "the list of suspects in `finchway steering` has the digests",
             )
         report = RequestReport(request, answered=True)
-        with self._log_order("release", f"request/{request}"):
+        with self._log_command("release", f"request/{request}"):
             await self._submit(ReportRequests(now_ms=WALL.now_ms(), reports=[report]))
 
     def gateways(self, host: str, region: str, zone: str) -> list[str]:
@@ -167,14 +167,12 @@
             return
         self._refusal_logged_at = now
         self._decisions.write(
-            BeliefChanged(
-                subject=call, now="refused", source=error.message[:MAX_LOGGED_ERROR_CHARS]
-            )
+            StateChanged(subject=call, now="refused", source=error.message[:MAX_LOGGED_ERROR_CHARS])
         )
 
     def _log_late_heartbeat(self, registration: Registration) -> None:
         self._decisions.write(
-            BeliefChanged(
+            StateChanged(
                 subject=f"upstream/{registration.incarnation}",
                 now=f"heartbeat {registration.sequence} came late and is passed over",
                 source=f"{registration.service} {registration.address}",
@@ -188,7 +186,7 @@
         self._congested_zones ^= {zone}
         now, before = ("pressed", "not pressed") if is_congested else ("not pressed", "pressed")
         self._decisions.write(
-            BeliefChanged(subject=f"zone/{zone}", now=now, before=before, source="gateways")
+            StateChanged(subject=f"zone/{zone}", now=now, before=before, source="gateways")
         )
 
     async def _commit_mark(self, instance: str, born: int, kind: MarkKind) -> None:
@@ -197,7 +195,7 @@
         if current is not None and (current.kind is kind or current.kind is MarkKind.GONE):
             return
         command = MarkUpstream(now_ms=WALL.now_ms(), instance=instance, kind=kind, born=born)
-        with self._log_order(kind.value, f"upstream/{incarnation}"):
+        with self._log_command(kind.value, f"upstream/{incarnation}"):
             await self._submit(command)
 
     def render_metrics(self) -> bytes:
@@ -223,7 +221,7 @@
         )
 
     @contextmanager
-    def _log_order(self, order: str, subject: str) -> Iterator[None]:
+    def _log_command(self, command: str, subject: str) -> Iterator[None]:
         """Log and count an order with its outcome."""
         started = trio.current_time()
         outcome, detail = "open", "cut short"
@@ -241,10 +239,10 @@
             raise
         finally:
             seconds = trio.current_time() - started
-            self._metrics.count_order(order, outcome, seconds)
+            self._metrics.count_order(command, outcome, seconds)
             self._decisions.write(
-                OrderEnded(
-                    order=order,
+                CommandEnded(
+                    order=command,
                     subject=subject,
                     outcome=outcome,
                     detail=detail,
--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -6,13 +6,13 @@
 
 from finchway.feed import Feed, Subscribe
 from finchway.observe import (
-    BeliefChanged,
     DecisionLog,
-    FeedEnded,
-    FeedOutcome,
     GatewayMetrics,
     LoopLag,
+    PollEnded,
+    PollOutcome,
     ProcessChanged,
+    StateChanged,
 )
 
 # Transit time, both ways together, from which an answer is logged as slow: several round trips
@@ -44,11 +44,11 @@
         transit = seconds - answer.held
         self._metrics.count_feed(transit)
         if answer.life != request.life:
-            outcome = FeedOutcome.FIRST
+            outcome = PollOutcome.FIRST
         elif seconds >= late_after:
-            outcome = FeedOutcome.LATE
+            outcome = PollOutcome.LATE
         elif transit >= SLOW_TRANSIT_S:
-            outcome = FeedOutcome.SLOW
+            outcome = PollOutcome.SLOW
         else:
             return
         self._write(address, request, outcome, seconds, answer)
@@ -57,27 +57,27 @@
         """Count and log a poll that got no answer."""
         self._metrics.count_feed(None)
         seconds = trio.current_time() - sent_at
-        self._write(address, request, FeedOutcome.GIVEN_UP, seconds, None)
+        self._write(address, request, PollOutcome.GIVEN_UP, seconds, None)
 
     def record_applied(self, feed: Feed, before: int, revision: int) -> None:
         """Log the changes in an answer since the revision `before`."""
-        for held in feed.image.items:
-            self._record_belief(held.item.key, f"version {held.item.version}", held.revision)
+        for entry in feed.image.items:
+            self._record_state(entry.item.key, f"version {entry.item.version}", entry.revision)
         for mark in feed.image.marks:
-            self._record_belief(f"upstream/{mark.incarnation}", mark.kind.value, mark.revision)
+            self._record_state(f"upstream/{mark.incarnation}", mark.kind.value, mark.revision)
         for evacuation in feed.image.evacuations:
             now = "evacuated" if evacuation.active else "in use"
-            self._record_belief(f"zone/{evacuation.zone}", now, evacuation.revision)
+            self._record_state(f"zone/{evacuation.zone}", now, evacuation.revision)
         for suspect in feed.image.suspects:
             source = (
                 f"control; ends: {suspect.crashes}, "
                 f"newest: {', '.join(suspect.crashed_upstreams) or 'none'}"
             )
-            self._record_belief(
+            self._record_state(
                 f"request/{suspect.request}", suspect.state.value, suspect.revision, source
             )
         self._decisions.write(
-            BeliefChanged(
+            StateChanged(
                 subject="configuration",
                 now=f"revision {revision}",
                 before=f"revision {before}",
@@ -86,23 +86,21 @@
             )
         )
 
-    def _record_belief(
-        self, subject: str, now: str, revision: int, source: str = "control"
-    ) -> None:
+    def _record_state(self, subject: str, now: str, revision: int, source: str = "control") -> None:
         self._decisions.write(
-            BeliefChanged(subject=subject, now=now, source=source, revision=revision)
+            StateChanged(subject=subject, now=now, source=source, revision=revision)
         )
 
     def _write(
         self,
         address: str,
         request: Subscribe,
-        outcome: FeedOutcome,
+        outcome: PollOutcome,
         seconds: float,
         answer: Feed | None,
     ) -> None:
         self._decisions.write(
-            FeedEnded(
+            PollEnded(
                 replica=address,
                 outcome=outcome,
                 ms=round(seconds * 1000, 1),
--- a/src/finchway/gateway/_limits.py
+++ b/src/finchway/gateway/_limits.py
@@ -10,7 +10,7 @@
 from finchway.feed import ClusterView
 from finchway.gateway._pushback import MAX_LOGGED_CHARS
 from finchway.gateway._record import UpstreamRecord
-from finchway.observe import BeliefChanged, DecisionLog, LimitTotals
+from finchway.observe import DecisionLog, LimitTotals, StateChanged
 from finchway.policy import part_of_limit
 from finchway.pushback import MAX_LIMITS, LimitReport, LimitReports, Part, Pushback, RateLimiter
 
@@ -122,5 +122,5 @@
 
     def _log(self, incarnation: str, now: str, source: str) -> None:
         self._decisions.write(
-            BeliefChanged(subject=f"upstream/{incarnation}", now=now, source=source)
+            StateChanged(subject=f"upstream/{incarnation}", now=now, source=source)
         )
--- a/src/finchway/gateway/_pushback.py
+++ b/src/finchway/gateway/_pushback.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from finchway._clock import WALL
-from finchway.observe import BeliefChanged, DecisionLog
+from finchway.observe import DecisionLog, StateChanged
 from finchway.pushback import BackoffTable, LeavingIncarnations, LimitReports, Pushback
 from finchway.registry import Registration
 
@@ -88,5 +88,5 @@
 
     def _log(self, incarnation: str, now: str, source: str) -> None:
         self._decisions.write(
-            BeliefChanged(subject=f"upstream/{incarnation}", now=now, source=source)
+            StateChanged(subject=f"upstream/{incarnation}", now=now, source=source)
         )
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -11,13 +11,13 @@
 from finchway.gateway._task import Choice, RequestContext
 from finchway.observe import (
     AttemptEnded,
-    BeliefChanged,
     DecisionLog,
     GatewayMetrics,
     LoopLag,
-    RepeatDenied,
     RequestEnded,
-    UpstreamEnded,
+    RetryDenied,
+    StateChanged,
+    UpstreamCrashed,
 )
 
 
@@ -139,7 +139,7 @@
         request = context.request
         self._metrics.count_upstream_ended(context.service)
         self._decisions.write(
-            UpstreamEnded(
+            UpstreamCrashed(
                 id=context.request_id,
                 digest=context.fingerprint,
                 caller=request.caller,
@@ -154,7 +154,7 @@
     def record_unprobed(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Log that an upstream is not probed since the queue of probes is full."""
         self._decisions.write(
-            BeliefChanged(
+            StateChanged(
                 subject=f"upstream/{record.registration.instance}",
                 now="connection failed; not probed, too many probes are queued",
                 source=f"request/{context.fingerprint}",
@@ -165,7 +165,7 @@
         """Log and count that a request is not retried."""
         self._metrics.count_denied(context.service, reason)
         self._decisions.write(
-            RepeatDenied(
+            RetryDenied(
                 id=context.request_id, service=context.service, reason=reason, after=outcome.detail
             )
         )
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -9,7 +9,7 @@
 from finchway.gateway._estimates import ServiceEstimate
 from finchway.gateway._table import UpstreamTable
 from finchway.gateway._task import RequestContext
-from finchway.observe import PlanChanged, RegionShare
+from finchway.observe import PlanChanged, RegionPlan
 from finchway.policy import (
     GrowthDetector,
     KeyMap,
@@ -182,7 +182,7 @@
             PlanChanged(
                 service=self._service,
                 regions={
-                    region: RegionShare(
+                    region: RegionPlan(
                         round(load.demand, 1),
                         round(load.capacity, 1),
                         round(plan.get(region, 0.0), 3),
--- a/src/finchway/gateway/_table.py
+++ b/src/finchway/gateway/_table.py
@@ -15,7 +15,7 @@
 from finchway.gateway._pushback import PushbackTracker
 from finchway.gateway._record import UpstreamRecord
 from finchway.gateway._reservation import Reservation
-from finchway.observe import BeliefChanged, DecisionLog
+from finchway.observe import DecisionLog, StateChanged
 from finchway.policy import Pacer, rank
 from finchway.pushback import BackoffTable, LimitReports, Pushback
 from finchway.registry import Registration, UpstreamState
@@ -183,7 +183,7 @@
         """Log that an upstream has become an outlier, or is one no longer."""
         states = ("well", OUTLIER) if is_outlier else (OUTLIER, "well")
         self._decisions.write(
-            BeliefChanged(
+            StateChanged(
                 subject=f"upstream/{record.registration.incarnation}",
                 now=states[1],
                 before=states[0],
@@ -362,7 +362,7 @@
         if record.state == state:
             return
         self._decisions.write(
-            BeliefChanged(
+            StateChanged(
                 subject=f"upstream/{record.registration.incarnation}",
                 now=state,
                 before=record.state,
--- a/src/finchway/observe/_decisions.py
+++ b/src/finchway/observe/_decisions.py
@@ -108,7 +108,7 @@
         return self.result != "answered"
 
 
-class UpstreamEnded(Decision, frozen=True, kw_only=True, tag="upstream-ended"):
+class UpstreamCrashed(Decision, frozen=True, kw_only=True, tag="upstream-ended"):
     """An upstream crashed: its connection broke during a request, and its address refuses new ones.
 
     `digest` identifies equal requests; `ended` counts the consecutive crashes during this request
@@ -125,7 +125,7 @@
     under_way: int
 
 
-class RepeatDenied(Decision, frozen=True, kw_only=True, tag="repeat-denied"):
+class RetryDenied(Decision, frozen=True, kw_only=True, tag="repeat-denied"):
     """A retry that was not made, and the reason."""
 
     id: str
@@ -134,7 +134,7 @@
     after: str
 
 
-class FeedOutcome(Enum):
+class PollOutcome(Enum):
     """Outcome of a poll of a replica that is logged."""
 
     FIRST = "first"
@@ -143,7 +143,7 @@
     GIVEN_UP = "given-up"
 
 
-class FeedEnded(Decision, frozen=True, kw_only=True, tag="feed"):
+class PollEnded(Decision, frozen=True, kw_only=True, tag="feed"):
     """A replica's first answer, a slow or late one, or a poll that was given up.
 
     `ms` is the time since the poll was sent, `held_ms` the part of it for which the replica waited
@@ -152,7 +152,7 @@
     """
 
     replica: str
-    outcome: FeedOutcome
+    outcome: PollOutcome
     ms: float
     held_ms: float = -1.0
     upstreams: int = 0
@@ -160,7 +160,7 @@
     lag_ms: float
 
 
-class BeliefChanged(Decision, frozen=True, kw_only=True, tag="belief"):
+class StateChanged(Decision, frozen=True, kw_only=True, tag="belief"):
     """The process's view of an upstream, replica, zone or other subject changed."""
 
     subject: str
@@ -171,7 +171,7 @@
     age_ms: float = -1.0
 
 
-class RegionShare(Struct, frozen=True):
+class RegionPlan(Struct, frozen=True):
     """A region in a plan: demand and capacity in requests per second, and the planned fraction."""
 
     demand: float
@@ -188,7 +188,7 @@
     """
 
     service: str
-    regions: dict[str, RegionShare]
+    regions: dict[str, RegionPlan]
     work_ms: float
     most_kept: float
     kept: float
@@ -202,7 +202,7 @@
     detail: str = ""
 
 
-class OrderEnded(Decision, frozen=True, kw_only=True, tag="order"):
+class CommandEnded(Decision, frozen=True, kw_only=True, tag="order"):
     """The end of a command from an operator or an upstream at a replica.
 
     `outcome` is committed, refused, conflict or open (no quorum confirmed it in time); `revision`
@@ -220,13 +220,13 @@
 AnyDecision = (
     RequestEnded
     | AttemptEnded
-    | UpstreamEnded
-    | RepeatDenied
-    | FeedEnded
-    | BeliefChanged
+    | UpstreamCrashed
+    | RetryDenied
+    | PollEnded
+    | StateChanged
     | PlanChanged
     | ProcessChanged
-    | OrderEnded
+    | CommandEnded
 )
 
 
--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -5,7 +5,7 @@
 from finchway.catalog import RouteType
 from finchway.cli import run
 from finchway.gateway import Bounds
-from finchway.observe import FeedEnded, FeedOutcome, GatewayState
+from finchway.observe import GatewayState, PollEnded, PollOutcome
 from finchway.state import SetEvacuation
 from tests.gateway.harness import NAMES, Upstream, answer, gateway, serve_ok
 from tests.gateway.test_forwarding import break_off, refuse, silent
@@ -104,9 +104,9 @@
     async def check():
         bounds = Bounds(apply_within=0.1)
         async with gateway(Upstream("i-1", serve_ok), bounds=bounds) as subject:
-            late = FeedEnded(
+            late = PollEnded(
                 replica="10.0.0.1:7200",
-                outcome=FeedOutcome.LATE,
+                outcome=PollOutcome.LATE,
                 ms=1450.0,
                 held_ms=600.0,
                 lag_ms=1.0,
--- a/tests/unit/test_log_writer.py
+++ b/tests/unit/test_log_writer.py
@@ -7,10 +7,10 @@
 
 from finchway.observe import (
     AttemptEnded,
-    BeliefChanged,
     DecisionLog,
     LogWriter,
     RequestEnded,
+    StateChanged,
 )
 from finchway.observe._writer import MAX_ROUTINE_LINES, MAX_VITAL_LINES
 
@@ -60,7 +60,7 @@
         reader, descriptor = os.pipe()
         writer = LogWriter(descriptor)
         log = DecisionLog("g1", writer)
-        log.write(BeliefChanged(subject="zone/z", now="evacuated", revision=3))
+        log.write(StateChanged(subject="zone/z", now="evacuated", revision=3))
         log.write(RequestEnded(id="a", status=503, reason="full", ms=1.0))
         writer.finish()
         os.close(descriptor)
--- a/tests/unit/test_steering_log.py
+++ b/tests/unit/test_steering_log.py
@@ -5,7 +5,7 @@
 
 from finchway.control import SteeringService
 from finchway.control._feed import FeedServer
-from finchway.observe import BeliefChanged, ReplicaMetrics
+from finchway.observe import ReplicaMetrics, StateChanged
 from tests.unit.test_feed_server import IdleRunner
 from tests.unit.test_registry import gateway_heartbeat, registration
 
@@ -22,7 +22,7 @@
     """Collects the lines that are written."""
 
     def __init__(self) -> None:
-        self.lines: list[BeliefChanged] = []
+        self.lines: list[StateChanged] = []
 
     def write(self, line) -> None:
         self.lines.append(line)
