--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -161,7 +161,7 @@
 
     def record_refused(self, call: str, error: FinchwayError) -> None:
         """Count an invalid call; log it at a limited rate."""
-        self._metrics.count_refused(call)
+        self._metrics.count_rejected_call(call)
         now = trio.current_time()
         if now - self._refusal_logged_at < REFUSED_LOG_INTERVAL_S:
             return
@@ -222,7 +222,7 @@
 
     @contextmanager
     def _log_command(self, command: str, subject: str) -> Iterator[None]:
-        """Log and count an order with its outcome."""
+        """Log and count a command with its outcome."""
         started = trio.current_time()
         outcome, detail = "open", "cut short"
         try:
@@ -239,7 +239,7 @@
             raise
         finally:
             seconds = trio.current_time() - started
-            self._metrics.count_order(command, outcome, seconds)
+            self._metrics.count_command(command, outcome, seconds)
             self._decisions.write(
                 CommandEnded(
                     order=command,
--- a/src/finchway/entry/_app.py
+++ b/src/finchway/entry/_app.py
@@ -191,7 +191,7 @@
             spec.steer_ttl_ms,
             self._view.revision,
         )
-        self._metrics.count_steer(service)
+        self._metrics.count_steering_answer(service)
         max_age = f"max-age={max(1, spec.steer_ttl_ms // 1000)}".encode()
         await send_json(respond, answer, 200, [(b"cache-control", max_age)])
 
--- a/src/finchway/entry/_dispatch.py
+++ b/src/finchway/entry/_dispatch.py
@@ -372,19 +372,19 @@
             directory.record_report(address, LoadReport(metadata.load, now))
         if metadata.pushback.leaving and directory.mark_leaving(address):
             self._timeline.record(EventKind.UPSTREAM_LEAVING, address, "said by its answer")
-            self._metrics.count_asked(service, "leaving")
+            self._metrics.count_pushback(service, "leaving")
         if metadata.pushback.backoff_s > 0:
             directory.record_backoff(address, metadata.pushback.backoff_s, now)
             detail = f"asks for {metadata.pushback.backoff_s:g} s of rest"
             self._timeline.record(EventKind.UPSTREAM_RESTING, address, detail)
-            self._metrics.count_asked(service, "rest")
+            self._metrics.count_pushback(service, "rest")
         if metadata.pushback.invalid_retry_after or metadata.pushback.invalid_limit is not None:
-            self._metrics.count_asked(service, "unreadable")
+            self._metrics.count_pushback(service, "unreadable")
 
     def _record_limit(self, service: str, address: str, pushback: Pushback, sent_at: float) -> None:
         """Record the rate limit that a response states; an unreadable one is ignored."""
         if pushback.limit is not None:
-            self._metrics.count_asked(service, "limit")
+            self._metrics.count_pushback(service, "limit")
         elif pushback.invalid_limit is not None:
             return
         now = trio.current_time()
--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -42,7 +42,7 @@
         """Count an answer; log it if it is slow, late, or the first of a replica's incarnation."""
         seconds = trio.current_time() - sent_at
         transit = seconds - answer.held
-        self._metrics.count_feed(transit)
+        self._metrics.count_poll(transit)
         if answer.life != request.life:
             outcome = PollOutcome.FIRST
         elif seconds >= late_after:
@@ -55,7 +55,7 @@
 
     def record_failed(self, address: str, request: Subscribe, sent_at: float) -> None:
         """Count and log a poll that got no answer."""
-        self._metrics.count_feed(None)
+        self._metrics.count_poll(None)
         seconds = trio.current_time() - sent_at
         self._write(address, request, PollOutcome.GIVEN_UP, seconds, None)
 
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -121,13 +121,13 @@
         """Count the pushback of an answer by kind."""
         pushback = context.pushback
         if pushback.backoff_s > 0:
-            self._metrics.count_asked(context.service, "rest")
+            self._metrics.count_pushback(context.service, "rest")
         if pushback.leaving:
-            self._metrics.count_asked(context.service, "leaving")
+            self._metrics.count_pushback(context.service, "leaving")
         if pushback.limit is not None:
-            self._metrics.count_asked(context.service, "limit")
+            self._metrics.count_pushback(context.service, "limit")
         if pushback.invalid_retry_after or pushback.invalid_limit is not None:
-            self._metrics.count_asked(context.service, "unreadable")
+            self._metrics.count_pushback(context.service, "unreadable")
 
     def record_quarantined(self, context: RequestContext) -> None:
         """Log and count a request that is refused because it is quarantined."""
@@ -137,7 +137,7 @@
     def record_crash(self, context: RequestContext, record: UpstreamRecord, crashes: int) -> None:
         """Log and count that an upstream has crashed while it handled a request."""
         request = context.request
-        self._metrics.count_upstream_ended(context.service)
+        self._metrics.count_crash(context.service)
         self._decisions.write(
             UpstreamCrashed(
                 id=context.request_id,
@@ -163,7 +163,7 @@
 
     def record_retry_denied(self, context: RequestContext, reason: str, outcome: Outcome) -> None:
         """Log and count that a request is not retried."""
-        self._metrics.count_denied(context.service, reason)
+        self._metrics.count_retry_denied(context.service, reason)
         self._decisions.write(
             RetryDenied(
                 id=context.request_id, service=context.service, reason=reason, after=outcome.detail
--- a/src/finchway/observe/_gateway_metrics.py
+++ b/src/finchway/observe/_gateway_metrics.py
@@ -111,7 +111,7 @@
         """Count an attempt at an upstream."""
         self._attempts.inc({"service": service, "result": result})
 
-    def count_upstream_ended(self, service: str) -> None:
+    def count_crash(self, service: str) -> None:
         """Count a request during which an upstream crashed."""
         self._crashes.inc({"service": service})
 
@@ -119,11 +119,11 @@
         """Count a request that was refused because it is quarantined."""
         self._quarantined.inc({"service": service})
 
-    def count_asked(self, service: str, what: str) -> None:
+    def count_pushback(self, service: str, what: str) -> None:
         """Count an answer that carries pushback for this gateway."""
         self._pushback.inc({"service": service, "what": what})
 
-    def count_feed(self, transit_s: float | None) -> None:
+    def count_poll(self, transit_s: float | None) -> None:
         """Count a poll of a replica and its transit time; None if it was given up."""
         if transit_s is None:
             self._polls.inc({"outcome": "given-up"})
@@ -131,7 +131,7 @@
         self._polls.inc({"outcome": "answered"})
         self._poll_latency.observe({}, transit_s)
 
-    def count_denied(self, service: str, reason: str) -> None:
+    def count_retry_denied(self, service: str, reason: str) -> None:
         """Count a retry that was not made."""
         self._retries_denied.inc({"service": service, "reason": reason})
 
--- a/src/finchway/observe/_metrics.py
+++ b/src/finchway/observe/_metrics.py
@@ -53,7 +53,7 @@
     def count_retry(self, service: str) -> None:
         self._retries.inc({"service": service})
 
-    def count_asked(self, service: str, what: str) -> None:
+    def count_pushback(self, service: str, what: str) -> None:
         """Count an answer that carries pushback for this entry."""
         self._pushback.inc({"service": service, "what": what})
 
@@ -61,7 +61,7 @@
         """Count a caller's connection that was closed by an error."""
         self._connection_failures.inc({})
 
-    def count_steer(self, service: str) -> None:
+    def count_steering_answer(self, service: str) -> None:
         self._steering_answers.inc({"service": service})
 
     def set_state(self, name: str, value: float, **labels: str) -> None:
--- a/src/finchway/observe/_replica_metrics.py
+++ b/src/finchway/observe/_replica_metrics.py
@@ -34,7 +34,7 @@
     def __init__(self, instance: str) -> None:
         labels = {"instance": instance}
         registry = self._registry = Registry()
-        self._orders = Counter(
+        self._commands = Counter(
             "finchway_replica_orders_total", "Orders by kind and outcome", labels, registry
         )
         self._commits = Histogram(
@@ -52,16 +52,16 @@
         )
         self._state = Gauge("finchway_replica_state", "State by name", labels, registry)
 
-    def count_order(self, order: str, outcome: str, seconds: float) -> None:
+    def count_command(self, command: str, outcome: str, seconds: float) -> None:
         """Count a finished command; latency is recorded for committed ones only."""
-        self._orders.inc({"order": order, "outcome": outcome})
+        self._commands.inc({"order": command, "outcome": outcome})
         if outcome == "committed":
-            self._commits.observe({"order": order}, seconds)
+            self._commits.observe({"order": command}, seconds)
 
     def count_heartbeat(self) -> None:
         self._heartbeats.inc({})
 
-    def count_refused(self, call: str) -> None:
+    def count_rejected_call(self, call: str) -> None:
         """Count a call that was malformed or failed validation."""
         self._rejected_calls.inc({"call": call})
 
