--- a/src/finchway/control/_api.py
+++ b/src/finchway/control/_api.py
@@ -56,7 +56,7 @@
     ReplicaStatus,
 )
 from finchway.transport._http import (
-    TEXT,
+    PROMETHEUS_TEXT,
     BodyTooLargeError,
     Problem,
     Request,
@@ -196,7 +196,7 @@
         self._metrics.set_state("claims", len(runner.machine.claims))
         self._metrics.set_state("link_sent_bytes", self._link.sent_bytes)
         self._metrics.set_state("link_received_bytes", self._link.received_bytes)
-        await send(respond, 200, self._metrics.render(), TEXT)
+        await send(respond, 200, self._metrics.render(), PROMETHEUS_TEXT)
 
     async def _list(self, kind: str, respond) -> None:
         _check_kind(kind, SPECS)
--- a/src/finchway/entry/_app.py
+++ b/src/finchway/entry/_app.py
@@ -20,7 +20,7 @@
 from finchway.observe import Metrics
 from finchway.policy import Caller, Outcome, client_block
 from finchway.transport._http import (
-    TEXT,
+    PROMETHEUS_TEXT,
     BodyTooLargeError,
     Problem,
     Request,
@@ -156,7 +156,7 @@
             await self._ready(respond)
         elif request.path == "/metrics":
             self._state.before_metrics()
-            await send(respond, 200, self._metrics.render(), TEXT)
+            await send(respond, 200, self._metrics.render(), PROMETHEUS_TEXT)
         elif len(parts) >= 3 and parts[1] == "steer" and request.method == "GET":
             await self._steer(request, parts[2], respond)
         elif len(parts) >= 3 and parts[1] == "s":
--- a/src/finchway/gateway/_feed_log.py
+++ b/src/finchway/gateway/_feed_log.py
@@ -107,6 +107,6 @@
                 held_ms=-1.0 if answer is None else round(answer.held * 1000, 1),
                 upstreams=0 if answer is None else len(answer.upstreams),
                 revision=request.revision,
-                lag_ms=round(self._lag.worst_s * 1000, 1),
+                lag_ms=round(self._lag.max_s * 1000, 1),
             )
         )
--- a/src/finchway/gateway/_http.py
+++ b/src/finchway/gateway/_http.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from finchway.catalog import Limits
-from finchway.transport import NEXT_REQUEST_S, Listener
+from finchway.transport import NEXT_REQUEST_GRACE_S, Listener
 
 _LOG = logging.getLogger(__name__)
 READ_BYTES = 64 * 1024
@@ -109,7 +109,7 @@
         """
         if self._in_request or self._http.trailing_data[0]:
             return False
-        return now - self._idle_since >= NEXT_REQUEST_S and not self._has_event(select.POLLIN)
+        return now - self._idle_since >= NEXT_REQUEST_GRACE_S and not self._has_event(select.POLLIN)
 
     def _has_event(self, event: int) -> bool:
         """Return whether the socket has an event pending, or is closed."""
--- a/src/finchway/gateway/_reports.py
+++ b/src/finchway/gateway/_reports.py
@@ -71,7 +71,7 @@
                 address,
                 ReportedRequests(reports=reports),
                 timeout=COMMIT_TIMEOUT_S,
-                send_within=COMMIT_TIMEOUT_S,
+                send_timeout=COMMIT_TIMEOUT_S,
             )
             return True
         except FinchwayError as error:
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -49,7 +49,7 @@
                 heard_ms=_ms(now - self._view.last_contact_at),
                 known_ms=_ms(now - self._view.current_as_of),
                 up_ms=_ms(now - self._started_at),
-                lag_ms=_ms(self._lag.worst_s),
+                lag_ms=_ms(self._lag.max_s),
             )
         )
 
--- a/src/finchway/gateway/_role.py
+++ b/src/finchway/gateway/_role.py
@@ -112,7 +112,7 @@
             revision=self._view.steering.revision,
             feed_age_s=round(now - self._view.last_contact_at, 3),
             known_age_s=round(now - self._view.current_as_of, 3),
-            loop_lag_s=round(self._lag.worst_s, 3),
+            loop_lag_s=round(self._lag.max_s, 3),
             in_flight=self._forwarder.in_flight,
             connections=self._server.connections,
             upstream_connections_opened=self._table.opened,
--- a/src/finchway/gateway/_session.py
+++ b/src/finchway/gateway/_session.py
@@ -164,7 +164,7 @@
         if not reachable:
             raise UnavailableError("no replica is reachable from this gateway either")
         return await self._link.request(
-            reachable[0], request, timeout=RELAY_TIMEOUT_S, send_within=POLL_TIMEOUT_S
+            reachable[0], request, timeout=RELAY_TIMEOUT_S, send_timeout=POLL_TIMEOUT_S
         )
 
     async def _poll_through_peers(self) -> None:
@@ -216,7 +216,7 @@
         sent_at = trio.current_time()
         try:
             answer = await self._link.request(
-                address, request, timeout=timeout, send_within=POLL_TIMEOUT_S
+                address, request, timeout=timeout, send_timeout=POLL_TIMEOUT_S
             )
         except FinchwayError as error:
             _LOG.debug("no feed from %s: %s", address, error)
--- a/src/finchway/observe/_lag.py
+++ b/src/finchway/observe/_lag.py
@@ -21,7 +21,7 @@
         self._samples: deque[tuple[float, float]] = deque()
 
     @property
-    def worst_s(self) -> float:
+    def max_s(self) -> float:
         """The maximum lag within the last second, in seconds."""
         return max((lag for _, lag in self._samples), default=0.0)
 
--- a/src/finchway/transport/_app_server.py
+++ b/src/finchway/transport/_app_server.py
@@ -18,7 +18,7 @@
 from hypercorn.trio.worker_context import WorkerContext
 from hypercorn.typing import ConnectionState
 
-from finchway.transport._listener import NEXT_REQUEST_S, Listener
+from finchway.transport._listener import NEXT_REQUEST_GRACE_S, Listener
 
 _LOG = logging.getLogger(__name__)
 # Limit for sending one part of a response, which cancellation of its request does not interrupt.
@@ -80,12 +80,12 @@
     async def stop(self) -> None:
         """Stop accepting connections, and return once all of them are closed.
 
-        Open connections get `NEXT_REQUEST_S` to send a request that may be on its way.
+        Open connections get `NEXT_REQUEST_GRACE_S` to send a request that may be on its way.
         """
         self.begin_drain()
         await self._listener.stop()
         if self._connections:
-            await trio.sleep(NEXT_REQUEST_S)
+            await trio.sleep(NEXT_REQUEST_GRACE_S)
         await self._context.terminated.set()
         while self._connections:
             await trio.sleep(_STOP_POLL_INTERVAL_S)
--- a/src/finchway/transport/_http.py
+++ b/src/finchway/transport/_http.py
@@ -12,7 +12,7 @@
 
 JSON = b"application/json"
 PROBLEM = b"application/problem+json"
-TEXT = b"text/plain; version=0.0.4"
+PROMETHEUS_TEXT = b"text/plain; version=0.0.4"
 READ_TIMEOUT_S = 30.0
 
 
--- a/src/finchway/transport/_link.py
+++ b/src/finchway/transport/_link.py
@@ -130,22 +130,22 @@
             self._close()
 
     async def request(
-        self, address: str, body: AnyBody, timeout: float, send_within: float = float("inf")
+        self, address: str, body: AnyBody, timeout: float, send_timeout: float = float("inf")
     ) -> AnyBody:
         """Send a request and return the reply.
 
         Raises the error that the peer replied with, or `TransportError` if there is no reply
         within `timeout` seconds, in which case the peer may have acted on the request. Raises
-        `TransportError` early if no connection accepts the request within `send_within` seconds.
+        `TransportError` early if no connection accepts the request within `send_timeout` seconds.
         """
         correlation = next(self._correlations)
         reply = self._pending[correlation] = _PendingReply()
         try:
             with trio.move_on_after(timeout):
-                with trio.move_on_after(send_within) as send_scope:
+                with trio.move_on_after(send_timeout) as send_scope:
                     await self._send_with_retry(address, correlation, body)
                 if send_scope.cancelled_caught:
-                    raise TransportError(f"no connection to {address} within {send_within:g} s")
+                    raise TransportError(f"no connection to {address} within {send_timeout:g} s")
                 await reply.event.wait()
         finally:
             del self._pending[correlation]
--- a/src/finchway/transport/_listener.py
+++ b/src/finchway/transport/_listener.py
@@ -20,7 +20,7 @@
 TCP_USER_TIMEOUT_MS = 5_000
 # Grace period after a connection is opened or a response sent on it, within which the client's next
 # request may still be on its way.
-NEXT_REQUEST_S = 0.5
+NEXT_REQUEST_GRACE_S = 0.5
 _ACCEPT_RETRY_S = 0.05
 
 
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -30,7 +30,7 @@
         self.polls = []
         self.delay_s = 0.1
 
-    async def request(self, address, poll, timeout, send_within):
+    async def request(self, address, poll, timeout, send_timeout):
         self.polls.append((trio.current_time(), address, poll))
         await trio.sleep(self.delay_s)
         if address in self.down:
@@ -172,10 +172,10 @@
     class UnevenLink(ScriptedLink):
         """Replica a answers promptly, b late and c not at all."""
 
-        async def request(self, address, poll, timeout, send_within):
+        async def request(self, address, poll, timeout, send_timeout):
             if address == "b:1":
                 await trio.sleep(0.5)
-            return await super().request(address, poll, timeout, send_within)
+            return await super().request(address, poll, timeout, send_timeout)
 
     async def run():
         writer, metrics = LogWriter(), GatewayMetrics("g")
@@ -219,9 +219,9 @@
 
 def test_loop_lag_reports_the_worst_stall_and_expires():
     lag = LoopLag()
-    assert lag.worst_s == 0.0
+    assert lag.max_s == 0.0
     lag.record(1.0, 0.7)
     lag.record(1.5, 0.01)
-    assert lag.worst_s == 0.7
+    assert lag.max_s == 0.7
     lag.record(2.1, 0.02)
-    assert lag.worst_s == 0.02
+    assert lag.max_s == 0.02
--- a/tests/gateway/test_stale_configuration.py
+++ b/tests/gateway/test_stale_configuration.py
@@ -98,7 +98,7 @@
         self.delay = delay
         self.feeds = {address: FeedServer(r, None, 1.5) for address, r in runners.items()}
 
-    async def request(self, address, poll, timeout, send_within=None):
+    async def request(self, address, poll, timeout, send_timeout=None):
         with trio.move_on_after(timeout):
             await trio.sleep(self.delay)
             answer = await self.feeds[address].answer(poll)
--- a/tests/gateway/test_startup_feed.py
+++ b/tests/gateway/test_startup_feed.py
@@ -42,7 +42,7 @@
         self._free_at = 0.0
         self.answers: list[tuple[float, int]] = []
 
-    async def request(self, address, poll, timeout, send_within=None):
+    async def request(self, address, poll, timeout, send_timeout=None):
         with trio.move_on_after(timeout):
             await trio.sleep(ROUND_TRIP_S / 2)
             answer = await self._feeds[address].answer(poll)
--- a/tests/unit/test_report_sender.py
+++ b/tests/unit/test_report_sender.py
@@ -16,7 +16,7 @@
         self.down = set(down)
         self.committed = []
 
-    async def request(self, address, body, timeout, send_within):
+    async def request(self, address, body, timeout, send_timeout):
         if address in self.down:
             await trio.sleep(timeout)
             raise TransportError("down")
