--- a/src/finchway/_clock.py
+++ b/src/finchway/_clock.py
@@ -95,4 +95,4 @@
 
 
 # Shared by the whole process, so that all components use the same time.
-WALL = WallClock()
+WALL_CLOCK = WallClock()
--- a/src/finchway/control/_api.py
+++ b/src/finchway/control/_api.py
@@ -19,7 +19,7 @@
 import trio
 from msgspec import Struct
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.control._server import ControlServer
 from finchway.control._steering import SteeringService
 from finchway.control._steering_api import SteeringApi
@@ -219,7 +219,7 @@
         if findings:
             raise ResourceError(findings, kind)
         command = PutResource(
-            now_ms=WALL.now_ms(),
+            now_ms=WALL_CLOCK.now_ms(),
             kind=kind,
             name=name,
             spec=msgspec.json.encode(spec),
@@ -235,7 +235,7 @@
         if expected is not None and not expected.isdigit():
             raise ResourceError([Finding("expected", f"not a number: {expected!r}")], "query")
         command = DeleteResource(
-            now_ms=WALL.now_ms(),
+            now_ms=WALL_CLOCK.now_ms(),
             kind=kind,
             name=name,
             expected=None if expected is None else int(expected),
--- a/src/finchway/control/_server.py
+++ b/src/finchway/control/_server.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.control._feed import FeedServer
 from finchway.control._replica import ReplicaRunner
 from finchway.control._replica_set import ReplicaSetPlanner, with_expected, without_name
@@ -132,7 +132,7 @@
                 self._feed.record_shared_heartbeats(body)
                 return None
             case ReportedRequests(reports=reports):
-                now_ms = WALL.now_ms()
+                now_ms = WALL_CLOCK.now_ms()
                 await self.submit(ReportRequests(now_ms=now_ms, reports=reports))
                 return Ok()
             case Heartbeat():
@@ -331,7 +331,7 @@
                 self._runner.change_members(members)
             except ConflictError as error:
                 _LOG.debug("replica set change postponed: %s", error)
-        for command in self._coordinator.plan(trio.current_time(), WALL.now_ms()):
+        for command in self._coordinator.plan(trio.current_time(), WALL_CLOCK.now_ms()):
             await self._runner.submit(command)
 
     async def _poll_platform(self, source: PlatformSource) -> None:
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.catalog import Item
 from finchway.control._server import ControlServer
 from finchway.exceptions import (
@@ -77,7 +77,7 @@
             f"{item.key} version {item.version}" for item in items[:MAX_LOGGED_ITEMS]
         )
         with self._log_command("change", subject):
-            result = await self._submit(ChangeItems(now_ms=WALL.now_ms(), items=items))
+            result = await self._submit(ChangeItems(now_ms=WALL_CLOCK.now_ms(), items=items))
             match result:
                 case Rejected(findings=findings):
                     found = [Finding(place, text) for place, text in findings]
@@ -113,7 +113,7 @@
     async def evacuate(self, zone: str, active: bool) -> None:
         """Begin or end the evacuation of a zone."""
         with self._log_command("evacuate" if active else "readmit", f"zone/{zone}"):
-            await self._submit(SetEvacuation(now_ms=WALL.now_ms(), zone=zone, active=active))
+            await self._submit(SetEvacuation(now_ms=WALL_CLOCK.now_ms(), zone=zone, active=active))
 
     async def release(self, request: str) -> None:
         """Release a request that is suspected of crashing upstreams.
@@ -128,7 +128,7 @@
             )
         report = RequestReport(request, answered=True)
         with self._log_command("release", f"request/{request}"):
-            await self._submit(ReportRequests(now_ms=WALL.now_ms(), reports=[report]))
+            await self._submit(ReportRequests(now_ms=WALL_CLOCK.now_ms(), reports=[report]))
 
     def gateways(self, host: str, region: str, zone: str) -> list[str]:
         """Return the gateways' addresses for a caller; raises `UnavailableError` without any."""
@@ -194,7 +194,7 @@
         current = self._control.runner.machine.steering.marks.get(incarnation)
         if current is not None and (current.kind is kind or current.kind is MarkKind.GONE):
             return
-        command = MarkUpstream(now_ms=WALL.now_ms(), instance=instance, kind=kind, born=born)
+        command = MarkUpstream(now_ms=WALL_CLOCK.now_ms(), instance=instance, kind=kind, born=born)
         with self._log_command(kind.value, f"upstream/{incarnation}"):
             await self._submit(command)
 
--- a/src/finchway/control/_steering_api.py
+++ b/src/finchway/control/_steering_api.py
@@ -8,7 +8,7 @@
 import trio
 from msgspec import Struct
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.catalog import Item, ItemKind, Limits, Route, ServiceSpec
 from finchway.control._steering import SteeringService
 from finchway.exceptions import Finding, InputError, NotFoundError, ResourceError
@@ -195,7 +195,7 @@
 
 
 def _suspect_row(suspect: Suspect) -> SuspectRow:
-    seconds = max(0.0, round(suspect.until_ms / 1000 - WALL.now(), 1))
+    seconds = max(0.0, round(suspect.until_ms / 1000 - WALL_CLOCK.now(), 1))
     ended = list(suspect.crashed_upstreams)
     return SuspectRow(suspect.request, suspect.state.value, suspect.crashes, ended, seconds)
 
--- a/src/finchway/entry/_claims.py
+++ b/src/finchway/entry/_claims.py
@@ -16,7 +16,7 @@
 import trio
 from msgspec import Struct
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.entry._call import Answer, Call, CallError
 from finchway.exceptions import FinchwayError
 from finchway.policy import Outcome
@@ -63,7 +63,7 @@
         """
         attempt = uuid.uuid4().hex
         command = ClaimKey(
-            now_ms=WALL.now_ms(),
+            now_ms=WALL_CLOCK.now_ms(),
             service=call.service,
             organisation=call.organisation,
             key=call.key,
@@ -131,7 +131,7 @@
         self._unsettled += 1
         while True:
             command = SettleClaim(
-                now_ms=WALL.now_ms(),
+                now_ms=WALL_CLOCK.now_ms(),
                 service=call.service,
                 organisation=call.organisation,
                 key=call.key,
--- a/src/finchway/entry/_upstream.py
+++ b/src/finchway/entry/_upstream.py
@@ -13,7 +13,7 @@
 import httpcore
 import trio
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.entry._call import Headers, ResponseMetadata, UpstreamError
 from finchway.policy import Outcome
 from finchway.pushback import read_pushback
@@ -170,7 +170,7 @@
                 load = _number(value)
             case b"finchway-outcome":
                 not_run = status == 503 and value == b"not-run"
-    pushback = read_pushback(status, lowered, _LEAVING_HEADER, _LIMIT_HEADER, WALL.now())
+    pushback = read_pushback(status, lowered, _LEAVING_HEADER, _LIMIT_HEADER, WALL_CLOCK.now())
     return ResponseMetadata(incarnation, load, not_run, pushback)
 
 
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.catalog import Route, RouteType
 from finchway.feed import ClusterView
 from finchway.gateway._connection import (
@@ -338,7 +338,7 @@
         names = self._names
         now = trio.current_time()
         pushback = read_pushback(
-            answer.status, answer.headers, names.leaving, names.limit, WALL.now()
+            answer.status, answer.headers, names.leaving, names.limit, WALL_CLOCK.now()
         )
         if is_own_answer(answer.status):
             self._table.limits.record(record.registration.incarnation, pushback, sent_at, now)
--- a/src/finchway/gateway/_pushback.py
+++ b/src/finchway/gateway/_pushback.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.observe import DecisionLog, StateChanged
 from finchway.pushback import BackoffTable, LeavingIncarnations, LimitReports, Pushback
 from finchway.registry import Registration
@@ -82,7 +82,7 @@
 
     def _set_latest(self, instance: str, incarnation: str) -> None:
         self._latest.pop(instance, None)
-        self._latest[instance] = LatestPushback(incarnation, WALL.now())
+        self._latest[instance] = LatestPushback(incarnation, WALL_CLOCK.now())
         if len(self._latest) > MAX_TRACKED_UPSTREAMS:
             del self._latest[next(iter(self._latest))]
 
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -14,7 +14,7 @@
 import trio
 from msgspec import Struct
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.feed import ClusterView
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
 from finchway.gateway._record import UpstreamRecord
@@ -128,7 +128,7 @@
         default = QUARANTINE_DURATIONS_MS[0] / 1000
         if shared is None or shared.state is not SuspectState.QUARANTINED:
             return default
-        return max(MIN_RETRY_AFTER_S, shared.until_ms / 1000 - WALL.now())
+        return max(MIN_RETRY_AFTER_S, shared.until_ms / 1000 - WALL_CLOCK.now())
 
     @contextmanager
     def track(self, context: RequestContext) -> Iterator[None]:
--- a/src/finchway/membership/_plans.py
+++ b/src/finchway/membership/_plans.py
@@ -21,7 +21,7 @@
     Capacity,
     Instance,
     InstanceState,
-    Leaving,
+    LeavingMark,
     Resource,
     ResourceStore,
     Share,
@@ -49,7 +49,7 @@
         for mark in latest.heartbeat.marks:
             current = store.get("leaving", mark.address)
             if mark.leaving and current is None:
-                spec = Leaving(incarnation=mark.incarnation)
+                spec = LeavingMark(incarnation=mark.incarnation)
                 commands[mark.address] = put_command("leaving", mark.address, spec, now_ms)
             elif not mark.leaving and current and current.spec.incarnation != mark.incarnation:
                 commands.setdefault(
@@ -152,7 +152,9 @@
     return Capacity(service=service, region=region)
 
 
-def put_command(kind: str, name: str, spec: Instance | Share | Leaving, now_ms: int) -> PutResource:
+def put_command(
+    kind: str, name: str, spec: Instance | Share | LeavingMark, now_ms: int
+) -> PutResource:
     """Return a command by which the system itself writes a spec."""
     return PutResource(
         now_ms=now_ms,
--- a/src/finchway/resources/_specs.py
+++ b/src/finchway/resources/_specs.py
@@ -178,7 +178,7 @@
     state: InstanceState = InstanceState.LIVE
 
 
-class Leaving(Spec):
+class LeavingMark(Spec):
     """Marks one incarnation of an upstream as leaving, so that it gets no new requests.
 
     An entry learns this from the upstream or the platform; the leader's mark informs the others.
@@ -227,7 +227,7 @@
     "operator": Operator,
     "instance": Instance,
     "share": Share,
-    "leaving": Leaving,
+    "leaving": LeavingMark,
 }
 SYSTEM_KINDS = frozenset({"instance", "share", "leaving"})
 OPERATOR_KINDS = tuple(kind for kind in SPECS if kind not in SYSTEM_KINDS)
