--- a/src/finchway/gateway/__init__.py
+++ b/src/finchway/gateway/__init__.py
@@ -6,13 +6,13 @@
 from finchway.gateway._header_names import HeaderNames
 from finchway.gateway._http import CallerConnection, CallerRequest, HttpServer, Reply
 from finchway.gateway._reports import ReportSender
+from finchway.gateway._request_context import Choice, ChoiceReason, RequestContext
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._role import GatewayRole, GatewaySettings
 from finchway.gateway._router import Router
 from finchway.gateway._session import GatewaySession
 from finchway.gateway._suspects import Clearance, SuspectTracker
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import Choice, ChoiceReason, RequestContext
 
 __all__ = [
     "Bounds",
--- a/src/finchway/gateway/_forward.py
+++ b/src/finchway/gateway/_forward.py
@@ -28,11 +28,11 @@
 )
 from finchway.gateway._outcome import Outcome, Verdict
 from finchway.gateway._record import SHED_BACKOFF_S, UpstreamRecord
+from finchway.gateway._request_context import Choice, RequestContext
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._router import Router
 from finchway.gateway._suspects import Clearance, SuspectTracker
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import Choice, RequestContext
 from finchway.pushback import NO_PUSHBACK, is_own_answer, read_pushback
 
 # Range of the random Retry-After of refusals, so that refused callers do not retry together.
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -8,7 +8,7 @@
 from finchway.gateway._http import CallerRequest
 from finchway.gateway._outcome import Outcome, Verdict
 from finchway.gateway._record import UpstreamRecord
-from finchway.gateway._task import Choice, RequestContext
+from finchway.gateway._request_context import Choice, RequestContext
 from finchway.observe import (
     AttemptEnded,
     DecisionLog,
--- a/src/finchway/gateway/_router.py
+++ b/src/finchway/gateway/_router.py
@@ -11,9 +11,9 @@
 from finchway.feed import ClusterView, ServiceRate
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._record import UpstreamRecord
+from finchway.gateway._request_context import Choice, ChoiceReason, RequestContext, SkippedUpstreams
 from finchway.gateway._service import ServicePlan
 from finchway.gateway._table import RegionUpstreams, UpstreamTable
-from finchway.gateway._task import Choice, ChoiceReason, RequestContext, SkippedUpstreams
 from finchway.policy import UPSTREAMS_PER_KEY, AttemptBudget, Candidate, choose_for_key
 
 # Requests that a gateway may always have in flight at an upstream, however small its share is.
--- a/src/finchway/gateway/_service.py
+++ b/src/finchway/gateway/_service.py
@@ -7,8 +7,8 @@
 from finchway.feed import ClusterView
 from finchway.gateway._bounds import Bounds
 from finchway.gateway._estimates import ServiceEstimate
+from finchway.gateway._request_context import RequestContext
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import RequestContext
 from finchway.observe import PlanChanged, RegionPlan
 from finchway.policy import (
     GrowthDetector,
--- a/src/finchway/gateway/_suspects.py
+++ b/src/finchway/gateway/_suspects.py
@@ -18,9 +18,9 @@
 from finchway.feed import ClusterView
 from finchway.gateway._connection import AttemptError, Failure, UpstreamConnection
 from finchway.gateway._record import UpstreamRecord
+from finchway.gateway._request_context import RequestContext
 from finchway.gateway._request_log import RequestLog
 from finchway.gateway._table import UpstreamTable
-from finchway.gateway._task import RequestContext
 from finchway.state import (
     QUARANTINE_DURATIONS_MS,
     QUARANTINE_THRESHOLD,
--- a/src/finchway/pushback/__init__.py
+++ b/src/finchway/pushback/__init__.py
@@ -4,7 +4,6 @@
 response.
 """
 
-from finchway.pushback._allowance import MIN_RATE, Part, RateLimiter
 from finchway.pushback._backoffs import (
     JITTER_FRACTION,
     MAX_BACKOFF_S,
@@ -16,6 +15,7 @@
 from finchway.pushback._limit_log import LimitLog, LimitLogEntries, LimitLogPosition
 from finchway.pushback._limit_reports import MAX_LIMITS, LimitReport, LimitReports
 from finchway.pushback._pushback import NO_PUSHBACK, Pushback, is_own_answer, read_pushback
+from finchway.pushback._rate_limiter import MIN_RATE, Part, RateLimiter
 from finchway.pushback._retry_after import read_retry_after
 
 __all__ = [
