--- a/src/finchway/catalog/__init__.py
+++ b/src/finchway/catalog/__init__.py
@@ -4,7 +4,7 @@
 findings = catalog.check(ChangeItems(now_ms=0, items=[...]))
 """
 
-from finchway.catalog._catalog import Catalog, HeldItem
+from finchway.catalog._catalog import Catalog, CatalogEntry
 from finchway.catalog._check import check_items
 from finchway.catalog._items import (
     Backend,
@@ -20,7 +20,7 @@
 __all__ = [
     "Backend",
     "Catalog",
-    "HeldItem",
+    "CatalogEntry",
     "Item",
     "ItemKind",
     "Limits",
--- a/src/finchway/catalog/_catalog.py
+++ b/src/finchway/catalog/_catalog.py
@@ -13,7 +13,7 @@
 _DEFAULT_LIMITS = Limits()
 
 
-class HeldItem(Struct, frozen=True, array_like=True):
+class CatalogEntry(Struct, frozen=True, array_like=True):
     """An item and the revision of the steering state that introduced it."""
 
     revision: int
@@ -23,12 +23,12 @@
 class Catalog:
     """Items by key; the highest version of each wins, equal and older ones are ignored."""
 
-    def __init__(self, held: Iterable[HeldItem] = ()) -> None:
-        self._entries: dict[str, HeldItem] = {entry.item.key: entry for entry in held}
+    def __init__(self, entries: Iterable[CatalogEntry] = ()) -> None:
+        self._entries: dict[str, CatalogEntry] = {entry.item.key: entry for entry in entries}
         self._routes_by_host: dict[str, list[tuple[str, Item]]] | None = None
 
     @property
-    def held(self) -> list[HeldItem]:
+    def entries(self) -> list[CatalogEntry]:
         """All items, including deleted ones, sorted by key."""
         return [self._entries[key] for key in sorted(self._entries)]
 
@@ -45,9 +45,9 @@
                 return entry.item.spec
         return _DEFAULT_LIMITS
 
-    def standing(self) -> list[Item]:
+    def active_items(self) -> list[Item]:
         """Return the items that are not deleted, sorted by key."""
-        return [entry.item for entry in self.held if entry.item.spec is not None]
+        return [entry.item for entry in self.entries if entry.item.spec is not None]
 
     def service(self, name: str) -> ServiceSpec | None:
         """Return the spec of a service, or None if it is unknown or deleted."""
@@ -94,7 +94,7 @@
                 highest[item.key] = item
         return list(highest.values())
 
-    def put(self, entry: HeldItem) -> bool:
+    def put(self, entry: CatalogEntry) -> bool:
         """Store an item unless its version is not newer; return whether it was stored."""
         existing = self._entries.get(entry.item.key)
         if existing is not None and existing.item.version >= entry.item.version:
@@ -120,7 +120,7 @@
 
     def _index_routes(self) -> dict[str, list[tuple[str, Item]]]:
         index: dict[str, list[tuple[str, Item]]] = {}
-        for item in self.standing():
+        for item in self.active_items():
             if isinstance(item.spec, Route):
                 index.setdefault(item.spec.host.lower(), []).append((item.spec.path_prefix, item))
         for routes in index.values():
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -89,7 +89,7 @@
     async def read_items(self) -> list[Item]:
         """Return all current items, including every change accepted before the call."""
         await self._control.confirm()
-        return self._control.runner.machine.steering.catalog.standing()
+        return self._control.runner.machine.steering.catalog.active_items()
 
     async def record_heartbeat(self, registration: Registration) -> None:
         """Record an upstream's heartbeat; a draining state is committed before it returns.
--- a/src/finchway/state/_steering.py
+++ b/src/finchway/state/_steering.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from finchway.catalog import Catalog, HeldItem
+from finchway.catalog import Catalog, CatalogEntry
 from finchway.registry import Mark, MarkKind, Registration
 from finchway.state import _commands as c
 from finchway.state._suspects import Suspect, Suspects
@@ -28,7 +28,7 @@
     """The complete steering state, or the records newer than some revision."""
 
     revision: int = 0
-    items: list[HeldItem] = []
+    items: list[CatalogEntry] = []
     marks: list[Mark] = []
     evacuations: list[Evacuation] = []
     suspects: list[Suspect] = []
@@ -80,7 +80,7 @@
             return SteeringImage(self._revision)
         return SteeringImage(
             self._revision,
-            [held for held in self._catalog.held if held.revision > since],
+            [entry for entry in self._catalog.entries if entry.revision > since],
             sorted((m for m in self._marks.values() if m.revision > since), key=_revision_of),
             sorted((e for e in self._evacuations.values() if e.revision > since), key=_revision_of),
             self._suspects.since(since),
@@ -90,8 +90,8 @@
         """Merge the image of another copy; returns False if it is not newer."""
         if image.revision <= self._revision:
             return False
-        for held in image.items:
-            self._catalog.put(held)
+        for entry in image.items:
+            self._catalog.put(entry)
         for mark in image.marks:
             self._marks[mark.incarnation] = mark
         for evacuation in image.evacuations:
@@ -114,7 +114,7 @@
         if newer:
             self._revision += 1
         for item in newer:
-            self._catalog.put(HeldItem(self._revision, item))
+            self._catalog.put(CatalogEntry(self._revision, item))
         return c.Steered(self._revision)
 
     def mark_of(self, registration: Registration) -> Mark | None:
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -10,7 +10,7 @@
 )
 from platform_settings import load_settings, to_seconds
 
-from finchway.catalog import Backend, Catalog, HeldItem, ItemKind, RouteType
+from finchway.catalog import Backend, Catalog, CatalogEntry, ItemKind, RouteType
 from finchway.exceptions import ResourceError, SettingsError
 from finchway.registry import UpstreamState
 from tests.adapter import documents
@@ -109,8 +109,8 @@
 def test_items_are_returned_as_they_were_sent():
     entries = [documents.service(), documents.route(), documents.LIMITS]
     items = items_from_patch(encode(documents.patch(*entries)))
-    catalog = Catalog(HeldItem(1, item) for item in items)
-    document = msgspec.json.decode(items_to_document(catalog.standing()))
+    catalog = Catalog(CatalogEntry(1, item) for item in items)
+    document = msgspec.json.decode(items_to_document(catalog.active_items()))
     assert sorted(document["resources"], key=str) == sorted(entries, key=str)
 
 
--- a/tests/unit/test_catalog.py
+++ b/tests/unit/test_catalog.py
@@ -5,7 +5,7 @@
 from finchway.catalog import (
     Backend,
     Catalog,
-    HeldItem,
+    CatalogEntry,
     Item,
     ItemKind,
     Limits,
@@ -107,7 +107,7 @@
         route("long", path_prefix="/a/b/"),
         route("other", host="b.example", path_prefix="/a/b/c/"),
     ]
-    catalog = Catalog(HeldItem(1, item) for item in items)
+    catalog = Catalog(CatalogEntry(1, item) for item in items)
     assert catalog.match("A.example", "/a/b/c/d")[0] == "long"
     assert catalog.match("a.example", "/a/x")[0] == "short"
     assert catalog.match("a.example", "/") is None
@@ -117,5 +117,5 @@
     catalog = Catalog()
     assert catalog.limits == Limits()
     newest = Limits(header_bytes=1, body_bytes=2, header_timeout=3.0, idle_timeout=4.0)
-    catalog.put(HeldItem(1, Item(kind=ItemKind.LIMITS, name="limits", version=1, spec=newest)))
+    catalog.put(CatalogEntry(1, Item(kind=ItemKind.LIMITS, name="limits", version=1, spec=newest)))
     assert catalog.limits == newest
--- a/tests/unit/test_steering_state.py
+++ b/tests/unit/test_steering_state.py
@@ -44,7 +44,7 @@
     steering.change_items(change(route(version=2, timeout=2.0)))
     steering.set_evacuation(evacuate("z", True))
     newer = steering.image(since=copy.revision)
-    assert [held.item.name for held in newer.items] == ["r"]
+    assert [entry.item.name for entry in newer.items] == ["r"]
     assert copy.merge(newer)
     assert not copy.merge(old)
     assert copy.image() == steering.image()
