--- a/src/finchway/control/_api.py
+++ b/src/finchway/control/_api.py
@@ -19,7 +19,7 @@
 import trio
 from msgspec import Struct
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.control._server import ControlServer
 from finchway.control._steering import SteeringService
 from finchway.control._steering_api import SteeringApi
@@ -56,7 +56,7 @@
     ReplicaStatus,
 )
 from finchway.transport._http import (
-    TEXT,
+    PROMETHEUS_TEXT,
     BodyTooLargeError,
     Problem,
     Request,
@@ -196,7 +196,7 @@
         self._metrics.set_state("claims", len(runner.machine.claims))
         self._metrics.set_state("link_sent_bytes", self._link.sent_bytes)
         self._metrics.set_state("link_received_bytes", self._link.received_bytes)
-        await send(respond, 200, self._metrics.render(), TEXT)
+        await send(respond, 200, self._metrics.render(), PROMETHEUS_TEXT)
 
     async def _list(self, kind: str, respond) -> None:
         _check_kind(kind, SPECS)
@@ -219,7 +219,7 @@
         if findings:
             raise ResourceError(findings, kind)
         command = PutResource(
-            now_ms=WALL.now_ms(),
+            now_ms=WALL_CLOCK.now_ms(),
             kind=kind,
             name=name,
             spec=msgspec.json.encode(spec),
@@ -235,7 +235,7 @@
         if expected is not None and not expected.isdigit():
             raise ResourceError([Finding("expected", f"not a number: {expected!r}")], "query")
         command = DeleteResource(
-            now_ms=WALL.now_ms(),
+            now_ms=WALL_CLOCK.now_ms(),
             kind=kind,
             name=name,
             expected=None if expected is None else int(expected),
--- a/src/finchway/control/_steering.py
+++ b/src/finchway/control/_steering.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from finchway._clock import WALL
+from finchway._clock import WALL_CLOCK
 from finchway.catalog import Item
 from finchway.control._server import ControlServer
 from finchway.exceptions import (
@@ -19,7 +19,7 @@
     UnavailableError,
 )
 from finchway.feed import choose_gateways
-from finchway.observe import BeliefChanged, DecisionLog, OrderEnded, ReplicaMetrics, ReplicaState
+from finchway.observe import CommandEnded, DecisionLog, ReplicaMetrics, ReplicaState, StateChanged
 from finchway.registry import (
     MarkKind,
     Registration,
@@ -76,8 +76,8 @@
         subject = ", ".join(
             f"{item.key} version {item.version}" for item in items[:MAX_LOGGED_ITEMS]
         )
-        with self._log_order("change", subject):
-            result = await self._submit(ChangeItems(now_ms=WALL.now_ms(), items=items))
+        with self._log_command("change", subject):
+            result = await self._submit(ChangeItems(now_ms=WALL_CLOCK.now_ms(), items=items))
             match result:
                 case Rejected(findings=findings):
                     found = [Finding(place, text) for place, text in findings]
@@ -89,7 +89,7 @@
     async def read_items(self) -> list[Item]:
         """Return all current items, including every change accepted before the call."""
         await self._control.confirm()
-        return self._control.runner.machine.steering.catalog.standing()
+        return self._control.runner.machine.steering.catalog.active_items()
 
     async def record_heartbeat(self, registration: Registration) -> None:
         """Record an upstream's heartbeat; a draining state is committed before it returns.
@@ -112,8 +112,8 @@
 
     async def evacuate(self, zone: str, active: bool) -> None:
         """Begin or end the evacuation of a zone."""
-        with self._log_order("evacuate" if active else "readmit", f"zone/{zone}"):
-            await self._submit(SetEvacuation(now_ms=WALL.now_ms(), zone=zone, active=active))
+        with self._log_command("evacuate" if active else "readmit", f"zone/{zone}"):
+            await self._submit(SetEvacuation(now_ms=WALL_CLOCK.now_ms(), zone=zone, active=active))
 
     async def release(self, request: str) -> None:
         """Release a request that is suspected of crashing upstreams.
@@ -127,8 +127,8 @@
                 "the list of suspects in `finchway steering` has the digests",
             )
         report = RequestReport(request, answered=True)
-        with self._log_order("release", f"request/{request}"):
-            await self._submit(ReportRequests(now_ms=WALL.now_ms(), reports=[report]))
+        with self._log_command("release", f"request/{request}"):
+            await self._submit(ReportRequests(now_ms=WALL_CLOCK.now_ms(), reports=[report]))
 
     def gateways(self, host: str, region: str, zone: str) -> list[str]:
         """Return the gateways' addresses for a caller; raises `UnavailableError` without any."""
@@ -161,20 +161,18 @@
 
     def record_refused(self, call: str, error: FinchwayError) -> None:
         """Count an invalid call; log it at a limited rate."""
-        self._metrics.count_refused(call)
+        self._metrics.count_rejected_call(call)
         now = trio.current_time()
         if now - self._refusal_logged_at < REFUSED_LOG_INTERVAL_S:
             return
         self._refusal_logged_at = now
         self._decisions.write(
-            BeliefChanged(
-                subject=call, now="refused", source=error.message[:MAX_LOGGED_ERROR_CHARS]
-            )
+            StateChanged(subject=call, now="refused", source=error.message[:MAX_LOGGED_ERROR_CHARS])
         )
 
     def _log_late_heartbeat(self, registration: Registration) -> None:
         self._decisions.write(
-            BeliefChanged(
+            StateChanged(
                 subject=f"upstream/{registration.incarnation}",
                 now=f"heartbeat {registration.sequence} came late and is passed over",
                 source=f"{registration.service} {registration.address}",
@@ -188,7 +186,7 @@
         self._congested_zones ^= {zone}
         now, before = ("pressed", "not pressed") if is_congested else ("not pressed", "pressed")
         self._decisions.write(
-            BeliefChanged(subject=f"zone/{zone}", now=now, before=before, source="gateways")
+            StateChanged(subject=f"zone/{zone}", now=now, before=before, source="gateways")
         )
 
     async def _commit_mark(self, instance: str, born: int, kind: MarkKind) -> None:
@@ -196,8 +194,8 @@
         current = self._control.runner.machine.steering.marks.get(incarnation)
         if current is not None and (current.kind is kind or current.kind is MarkKind.GONE):
             return
-        command = MarkUpstream(now_ms=WALL.now_ms(), instance=instance, kind=kind, born=born)
-        with self._log_order(kind.value, f"upstream/{incarnation}"):
+        command = MarkUpstream(now_ms=WALL_CLOCK.now_ms(), instance=instance, kind=kind, born=born)
+        with self._log_command(kind.value, f"upstream/{incarnation}"):
             await self._submit(command)
 
     def render_metrics(self) -> bytes:
@@ -223,8 +221,8 @@
         )
 
     @contextmanager
-    def _log_order(self, order: str, subject: str) -> Iterator[None]:
-        """Log and count an order with its outcome."""
+    def _log_command(self, command: str, subject: str) -> Iterator[None]:
+        """Log and count a command with its outcome."""
         started = trio.current_time()
         outcome, detail = "open", "cut short"
         try:
@@ -241,10 +239,10 @@
             raise
         finally:
             seconds = trio.current_time() - started
-            self._metrics.count_order(order, outcome, seconds)
+            self._metrics.count_command(command, outcome, seconds)
             self._decisions.write(
-                OrderEnded(
-                    order=order,
+                CommandEnded(
+                    order=command,
                     subject=subject,
                     outcome=outcome,
                     detail=detail,
--- a/src/finchway/gateway/_pushback.py
+++ b/src/finchway/gateway/_pushback.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct
 
-from finchway._clock import WALL
-from finchway.observe import BeliefChanged, DecisionLog
+from finchway._clock import WALL_CLOCK
+from finchway.observe import DecisionLog, StateChanged
 from finchway.pushback import BackoffTable, LeavingIncarnations, LimitReports, Pushback
 from finchway.registry import Registration
 
@@ -82,11 +82,11 @@
 
     def _set_latest(self, instance: str, incarnation: str) -> None:
         self._latest.pop(instance, None)
-        self._latest[instance] = LatestPushback(incarnation, WALL.now())
+        self._latest[instance] = LatestPushback(incarnation, WALL_CLOCK.now())
         if len(self._latest) > MAX_TRACKED_UPSTREAMS:
             del self._latest[next(iter(self._latest))]
 
     def _log(self, incarnation: str, now: str, source: str) -> None:
         self._decisions.write(
-            BeliefChanged(subject=f"upstream/{incarnation}", now=now, source=source)
+            StateChanged(subject=f"upstream/{incarnation}", now=now, source=source)
         )
--- a/src/finchway/gateway/_request_log.py
+++ b/src/finchway/gateway/_request_log.py
@@ -8,16 +8,16 @@
 from finchway.gateway._http import CallerRequest
 from finchway.gateway._outcome import Outcome, Verdict
 from finchway.gateway._record import UpstreamRecord
-from finchway.gateway._task import Choice, RequestContext
+from finchway.gateway._request_context import Choice, RequestContext
 from finchway.observe import (
     AttemptEnded,
-    BeliefChanged,
     DecisionLog,
     GatewayMetrics,
     LoopLag,
-    RepeatDenied,
     RequestEnded,
-    UpstreamEnded,
+    RetryDenied,
+    StateChanged,
+    UpstreamCrashed,
 )
 
 
@@ -49,7 +49,7 @@
                 heard_ms=_ms(now - self._view.last_contact_at),
                 known_ms=_ms(now - self._view.current_as_of),
                 up_ms=_ms(now - self._started_at),
-                lag_ms=_ms(self._lag.worst_s),
+                lag_ms=_ms(self._lag.max_s),
             )
         )
 
@@ -121,13 +121,13 @@
         """Count the pushback of an answer by kind."""
         pushback = context.pushback
         if pushback.backoff_s > 0:
-            self._metrics.count_asked(context.service, "rest")
+            self._metrics.count_pushback(context.service, "rest")
         if pushback.leaving:
-            self._metrics.count_asked(context.service, "leaving")
+            self._metrics.count_pushback(context.service, "leaving")
         if pushback.limit is not None:
-            self._metrics.count_asked(context.service, "limit")
+            self._metrics.count_pushback(context.service, "limit")
         if pushback.invalid_retry_after or pushback.invalid_limit is not None:
-            self._metrics.count_asked(context.service, "unreadable")
+            self._metrics.count_pushback(context.service, "unreadable")
 
     def record_quarantined(self, context: RequestContext) -> None:
         """Log and count a request that is refused because it is quarantined."""
@@ -137,9 +137,9 @@
     def record_crash(self, context: RequestContext, record: UpstreamRecord, crashes: int) -> None:
         """Log and count that an upstream has crashed while it handled a request."""
         request = context.request
-        self._metrics.count_upstream_ended(context.service)
+        self._metrics.count_crash(context.service)
         self._decisions.write(
-            UpstreamEnded(
+            UpstreamCrashed(
                 id=context.request_id,
                 digest=context.fingerprint,
                 caller=request.caller,
@@ -154,7 +154,7 @@
     def record_unprobed(self, context: RequestContext, record: UpstreamRecord) -> None:
         """Log that an upstream is not probed since the queue of probes is full."""
         self._decisions.write(
-            BeliefChanged(
+            StateChanged(
                 subject=f"upstream/{record.registration.instance}",
                 now="connection failed; not probed, too many probes are queued",
                 source=f"request/{context.fingerprint}",
@@ -163,9 +163,9 @@
 
     def record_retry_denied(self, context: RequestContext, reason: str, outcome: Outcome) -> None:
         """Log and count that a request is not retried."""
-        self._metrics.count_denied(context.service, reason)
+        self._metrics.count_retry_denied(context.service, reason)
         self._decisions.write(
-            RepeatDenied(
+            RetryDenied(
                 id=context.request_id, service=context.service, reason=reason, after=outcome.detail
             )
         )
